--- a/src/onyxgap/jobs/amounts.py
+++ b/src/onyxgap/jobs/amounts.py
@@ -1,4 +1,4 @@
-"""Amounts of what tasks ask for, workers offer and tenants may have in use."""
+"""Resource amounts: task requests, worker capacity, and caps and usage of tenants."""
 
 import typing as t
 
@@ -7,16 +7,16 @@
 from .messages import Step
 
 NO_LIMIT = 1 << 53
-"""Amount that no deployment reaches; a float still holds it exactly."""
+"""Stands for no limit: no deployment reaches it, and a float represents it exactly."""
 
 
 @attrs.frozen(slots=True)
 class Amount:
-    """Cores, memory and accelerators.
+    """An amount of CPU, memory and accelerators.
 
-    :param cpu: thousandths of a core.
-    :param memory_mb: MB.
-    :param accelerators: their number.
+    :param cpu: CPU in thousandths of a core.
+    :param memory_mb: memory in MB.
+    :param accelerators: number of accelerators.
     """
 
     cpu: int = 0
@@ -44,15 +44,15 @@
         )
 
     def get_largest(self, other: "Amount") -> "Amount":
-        """Give the larger of each."""
+        """Return the larger value of each resource."""
         return self._combine(other, max)
 
     def get_smallest(self, other: "Amount") -> "Amount":
-        """Give the smaller of each."""
+        """Return the smaller value of each resource."""
         return self._combine(other, min)
 
     def fits(self, limit: "Amount") -> bool:
-        """Tell whether nothing is above a limit."""
+        """Tell whether no resource exceeds its limit."""
         return (
             self.cpu <= limit.cpu
             and self.memory_mb <= limit.memory_mb
@@ -60,7 +60,7 @@
         )
 
     def divide(self, parts: int) -> "Amount":
-        """Give one of equal parts, rounded down."""
+        """Divide each resource by a number of parts, rounding down."""
         return Amount(
             self.cpu // parts, self.memory_mb // parts, self.accelerators // parts
         )
@@ -71,8 +71,8 @@
 
 
 def measure_task(step: Step) -> Amount:
-    """Measure what a task of a step has in use while it runs.
+    """Return the resources that a task of a step uses while it runs.
 
-    What fills the room that others leave counts for its tenant, too.
+    Tasks that run on capacity left idle by others count for their tenant, too.
     """
     return Amount(step.cpu, step.memory_mb, step.accelerators)
--- a/src/onyxgap/jobs/tenants.py
+++ b/src/onyxgap/jobs/tenants.py
@@ -1,7 +1,7 @@
-"""Tenants, and who a caller is by the key that it sends.
+"""Defines tenants and authenticates callers by API key.
 
-Only digests of keys are kept, compared and sent to other nodes. The time of a look-up
-tells nothing of a key: it depends on the digest of what was sent.
+Only digests of keys are stored, compared and sent to other nodes. The time of a lookup
+reveals nothing about a key, since it depends only on the digest of what was sent.
 """
 
 import enum
@@ -15,14 +15,14 @@
 from .amounts import measure_task
 from .messages import Step
 
-DIGEST_CHARACTERS = 32
-"""Hexadecimal digits of a digest, 128 bits."""
+DIGEST_HEX_DIGITS = 32
+"""Length of a key digest in hexadecimal digits, which is 128 bits."""
 MAX_KEY_BYTES = 512
-"""Longer keys are refused unread, so that none costs much to digest."""
+"""Longer keys are refused without hashing, which limits the cost per call."""
 
 
 class KeyFault(enum.Enum):
-    """Why a caller is refused by its key."""
+    """Why a caller could not be authenticated by its key."""
 
     MISSING = "no key"
     REPEATED = "more than one key"
@@ -32,11 +32,11 @@
 
 @attrs.frozen(slots=True)
 class Tenant:
-    """A party whose jobs the fleet runs.
+    """A customer whose jobs the fleet runs.
 
-    :param name: its name.
-    :param key_digests: digests of its keys.
-    :param weight: its share when there is no room for all.
+    :param name: name of the tenant.
+    :param key_digests: digests of its API keys.
+    :param weight: fair-share weight, used when there is not enough capacity for all.
     :param cap: most that it may have running, over all workers of all services.
     """
 
@@ -47,69 +47,73 @@
 
 
 class TenantBounds(t.Protocol):
-    """What the configuration in force grants tenants."""
+    """Caps and weights of tenants in the configuration in force."""
 
     def find_cap(self, tenant: str) -> Amount:
-        """Find the most that a tenant may have running."""
+        """Return the most that a tenant may have running."""
 
     def find_weight(self, tenant: str) -> float:
-        """Find a tenant's share of the room when there is none for all."""
+        """Return a tenant's weight, used when there is not enough capacity for all."""
 
 
 @attrs.frozen(slots=True)
 class Caller:
-    """Who calls.
+    """The identity of a caller.
 
-    :param tenant: its tenant; empty on a queue that is open to anyone.
+    :param tenant: tenant of the caller; empty on a public queue.
     """
 
     tenant: str = ""
 
-    def may_use(self, owner: str) -> bool:
-        """Tell whether it may read and cancel a job.
+    def may_use(self, job_tenant: str) -> bool:
+        """Tell whether the caller may read and cancel a job.
 
-        A job without a tenant was handed in while its queue was open to anyone.
+        A job without a tenant was submitted while its queue was public.
 
-        :param owner: tenant of the job, or empty.
+        :param job_tenant: tenant of the job, or empty.
         """
-        return not self.tenant or owner in ("", self.tenant)
+        return not self.tenant or job_tenant in ("", self.tenant)
 
 
 ANYONE = Caller()
-"""A caller of an open queue, where keys are not looked at."""
+"""The caller of a queue that needs no key; keys that it sends are ignored."""
 
 
 def digest_key(key: bytes) -> str:
-    """Give the digest by which a key is known.
+    """Return the digest under which a key is stored and looked up.
 
-    :param key: the key.
+    :param key: the API key as sent.
     """
-    return hashlib.sha256(key).hexdigest()[:DIGEST_CHARACTERS]
+    return hashlib.sha256(key).hexdigest()[:DIGEST_HEX_DIGITS]
 
 
 def find_step_above(steps: t.Sequence[Step], cap: Amount) -> int | None:
-    """Find a step that can never run within a cap: a task, or a gang as a whole.
+    """Find the first step that can never start within a cap.
+
+    A single task must fit within the cap; a gang must fit as a whole.
 
     :param steps: steps of a job.
-    :param cap: most that its tenant may have running.
+    :param cap: cap of the job's tenant.
+    :returns: number of the step from 0, ``None`` if every step fits.
     """
     for number, step in enumerate(steps):
-        together = step.count if step.gang else 1
-        if not (measure_task(step) * together).fits(cap):
+        task_count = step.count if step.gang else 1
+        if not (measure_task(step) * task_count).fits(cap):
             return number
     return None
 
 
 def index_keys(tenants: t.Iterable[Tenant]) -> dict[str, str]:
-    """Map digests of keys to the names of their tenants."""
+    """Map key digests to the names of their tenants."""
     return {digest: tenant.name for tenant in tenants for digest in tenant.key_digests}
 
 
 def identify(keys: t.Sequence[bytes], index: t.Mapping[str, str]) -> Caller | KeyFault:
-    """Find out whose key a caller sent.
+    """Authenticate a caller by its key.
 
-    :param keys: all that it sent.
-    :param index: names of tenants by digest of key.
+    :param keys: all keys that the caller sent; exactly one is accepted.
+    :param index: names of tenants by key digest.
+    :returns: the caller, or the reason why it was refused.
     """
     if not keys or keys == [b""]:
         return KeyFault.MISSING
--- a/src/onyxgap/jobs/usage.py
+++ b/src/onyxgap/jobs/usage.py
@@ -1,4 +1,4 @@
-"""What tenants have in use in one shard."""
+"""Computes the resource usage of tenants in one shard."""
 
 import collections
 import typing as t
@@ -14,10 +14,10 @@
 def measure_usage(
     workers: t.Iterable[WorkerRecord], jobs: t.Mapping[str, Job]
 ) -> dict[str, Amount]:
-    """Measure all that may be running on workers, by tenant.
+    """Sum the resources of all tasks that may be running on workers, by tenant.
 
     :param workers: the workers of a shard.
-    :param jobs: its jobs by id.
+    :param jobs: the shard's jobs by id.
     """
     counts: collections.Counter[Group] = collections.Counter()
     for record in workers:
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Who a caller is by its key, and what it may read and cancel."""
+"""Tests authentication by API key and the access of tenants to jobs."""
 
 import typing as t
 
@@ -66,7 +66,7 @@
         ([b"n" * (MAX_KEY_BYTES + 1)], KeyFault.TOO_LONG),
     ],
 )
-def test_caller_is_known_by_exactly_one_whole_key(
+def test_caller_needs_exactly_one_complete_key(
     keys: list[bytes], found: Caller | KeyFault
 ) -> None:
     assert identify(keys, index_keys(TENANTS)) == found
@@ -82,7 +82,7 @@
         ("", "", True),
     ],
 )
-def test_job_is_for_its_tenant(caller: str, owner: str, may: bool) -> None:
+def test_job_access_by_tenant(caller: str, owner: str, may: bool) -> None:
     assert Caller(caller).may_use(owner) is may
 
 
@@ -100,33 +100,35 @@
     return Authentication(exchange.routes, exchange, reasons.append), reasons
 
 
-def ask(authentication: Authentication, route: Route, *keys: bytes) -> t.Any:
+def identify_caller(
+    authentication: Authentication, route: Route, *keys: bytes
+) -> t.Any:
     return anyio.run(authentication.identify, route, keys, JOB_ID)
 
 
-def test_open_queue_and_deployment_without_tenants_need_no_key() -> None:
+def test_public_queue_and_deployment_without_tenants_need_no_key() -> None:
     authentication, reasons = build_authentication(age_s=99.0)
-    assert ask(authentication, OPEN, b"stray") is ANYONE
+    assert identify_caller(authentication, OPEN, b"stray") is ANYONE
     authentication, reasons = build_authentication(age_s=99.0, keyed=False)
-    assert ask(authentication, KEYED) is ANYONE
+    assert identify_caller(authentication, KEYED) is ANYONE
     assert reasons == []
 
 
-def test_key_is_judged_only_by_a_version_that_is_surely_in_force() -> None:
+def test_key_is_checked_only_while_configuration_is_known_to_be_current() -> None:
     authentication, _ = build_authentication(age_s=2.0 * VALID_SHARE)
-    assert ask(authentication, KEYED, b"n1") == Caller("north")
-    assert ask(authentication, KEYED, b"x") is KeyFault.UNKNOWN
+    assert identify_caller(authentication, KEYED, b"n1") == Caller("north")
+    assert identify_caller(authentication, KEYED, b"x") is KeyFault.UNKNOWN
     authentication, _ = build_authentication(age_s=2.0 * VALID_SHARE + 0.01)
     for key in (b"n1", b"x"):
-        found = ask(authentication, KEYED, key)
+        found = identify_caller(authentication, KEYED, key)
         assert found is Unavailable.CONFIGURATION_AGE
 
 
-def test_refusals_are_counted_all_and_logged_within_bounds() -> None:
+def test_all_refusals_are_counted_but_their_log_rate_is_limited() -> None:
     authentication, reasons = build_authentication()
     with structlog.testing.capture_logs() as lines:
         for _ in range(LOGGED_PER_S + 30):
-            ask(authentication, KEYED, b"stray-key")
+            identify_caller(authentication, KEYED, b"stray-key")
     assert len(reasons) == LOGGED_PER_S + 30
     assert set(reasons) == {"unknown key"}
     assert len(lines) == LOGGED_PER_S
@@ -134,10 +136,10 @@
     assert "stray-key" not in str(lines)
 
 
-def build_reading(
+def build_rereading_authentication(
     *, fails: bool = False
 ) -> tuple[Authentication, SetClocks, list[float]]:
-    """Build one whose reads of the row find a newer version with another key."""
+    """Build an authentication whose reads of the row find a newer set of keys."""
     newer = Configuration(
         8, (KEYED, OPEN), {}, tenants=(Tenant("new", (digest_key(b"k"),)),)
     )
@@ -156,39 +158,40 @@
     return Authentication(routes, exchange), clocks, reads
 
 
-def test_key_of_a_version_that_the_feed_kept_back_is_found_before_it_is_refused() -> (
-    None
-):
-    authentication, _, reads = build_reading()
-    assert ask(authentication, KEYED, b"k") == Caller("new")
+def test_key_of_a_version_that_the_feed_has_not_delivered_is_accepted() -> None:
+    authentication, _, reads = build_rereading_authentication()
+    assert identify_caller(authentication, KEYED, b"k") == Caller("new")
     assert len(reads) == 1
 
 
-def test_bad_keys_are_no_load_on_the_store() -> None:
-    authentication, clocks, reads = build_reading()
+def test_unknown_keys_cause_few_reads_of_the_store() -> None:
+    authentication, clocks, reads = build_rereading_authentication()
 
-    async def flood() -> None:
+    async def send_unknown_keys() -> None:
         async with anyio.create_task_group() as group:
             for _ in range(200):
                 group.start_soon(authentication.identify, KEYED, [b"x"], JOB_ID)
 
     for _ in range(4):
-        anyio.run(flood)
+        anyio.run(send_unknown_keys)
         clocks.now += 0.4
     assert len(reads) == 2
 
 
-def test_unknown_key_is_not_judged_while_the_row_cannot_be_read() -> None:
-    authentication, _, reads = build_reading(fails=True)
+def test_unknown_key_is_not_refused_while_the_row_cannot_be_read() -> None:
+    authentication, _, reads = build_rereading_authentication(fails=True)
     for _ in range(3):
-        assert ask(authentication, KEYED, b"x") is Unavailable.CONFIGURATION_AGE
-    assert ask(authentication, KEYED, b"n1") == Caller("north")
+        assert (
+            identify_caller(authentication, KEYED, b"x")
+            is Unavailable.CONFIGURATION_AGE
+        )
+    assert identify_caller(authentication, KEYED, b"n1") == Caller("north")
     assert len(reads) == 1
 
 
 @attrs.define
 class TenantsDesk:
-    """A desk with one job, of the tenant ``south``."""
+    """Desk double on which every job belongs to tenant ``south``."""
 
     authentication: Authentication
     submitted: list[Submission] = attrs.field(factory=list)
@@ -259,27 +262,27 @@
 
 
 @pytest.mark.parametrize("keys", [[], [b""], [b"x"], [b"s1", b"n1"], [b"s" * 10_000]])
-def test_open_queue_takes_any_caller(keys: list[bytes]) -> None:
+def test_public_queue_accepts_any_caller(keys: list[bytes]) -> None:
     desk = TenantsDesk(build_authentication()[0])
     assert call(desk, "POST", f"/o/{JOB_ID}", keys)[0] == 200
     assert desk.submitted[0].tenant == ""
     assert call(desk, "GET", "/o/", keys)[0] == 200
 
 
-def test_job_remembers_its_tenant_and_no_key() -> None:
+def test_submission_holds_the_tenant_but_no_key() -> None:
     desk = TenantsDesk(build_authentication()[0])
     call(desk, "POST", f"/p/{JOB_ID}", [b"s1"])
     assert desk.submitted[0].tenant == "south"
     assert "s1" not in str(desk.submitted[0])
 
 
-def test_node_that_cannot_know_says_when_to_come_back() -> None:
+def test_node_with_outdated_configuration_answers_with_retry_after() -> None:
     desk = TenantsDesk(build_authentication(age_s=9.0)[0])
     status, headers = call(desk, "GET", f"/p/{JOB_ID}", [b"s1"])
     assert (status, headers[b"retry-after"]) == (503, b"1")
 
 
-def test_tenants_of_the_operators_configuration() -> None:
+def test_tenants_are_decoded_from_the_configuration() -> None:
     value = orjson.dumps(
         {
             "version": 3,
@@ -319,7 +322,7 @@
 @pytest.mark.parametrize(
     ("contracts", "keyed"), [("base,tenants,quota", True), ("base,config", False)]
 )
-def test_settings_say_whether_calls_need_a_key(contracts: str, keyed: bool) -> None:
+def test_settings_tell_whether_calls_need_a_key(contracts: str, keyed: bool) -> None:
     text = (
         "node=n\nlisten.front=1.2.3.4:5\nlisten.ready=1.2.3.4:6\n"
         f"platform.address=1.2.3.4:7\ncontracts={contracts}\n"
