--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -1,4 +1,4 @@
-"""Jobs beyond a tenant's rate stand behind those of others, and use what is idle."""
+"""Tests that jobs over a tenant's rate go after others and use idle capacity."""
 
 import attrs
 import pytest
@@ -29,7 +29,7 @@
     assert found == [True] * within + [False] * 7
 
 
-def test_rate_comes_back_with_time_and_no_more_than_a_burst_of_it() -> None:
+def test_tokens_refill_over_time_up_to_the_burst() -> None:
     rates = build_rates()
     burst = int(4 * BURST_S)
     assert [rates.is_within("large", 10.0) for _ in range(99)].count(True) == burst
@@ -37,16 +37,16 @@
     assert [rates.is_within("large", 99.0) for _ in range(99)].count(True) == burst
 
 
-def test_steady_rate_is_within_for_ever() -> None:
+def test_steady_submissions_at_the_rate_stay_within_it() -> None:
     rates = build_rates()
     assert all(rates.is_within("large", 10.0 + number / 4) for number in range(400))
 
 
-def test_jobs_of_nobody_have_no_rate() -> None:
+def test_jobs_without_tenant_have_no_rate_limit() -> None:
     assert all(build_rates().is_within("", 10.0) for _ in range(100))
 
 
-def add_jobs(bench: Bench, tenant: str, count: int, first: int) -> list[Job]:
+def add_jobs(harness: Bench, tenant: str, count: int, first: int) -> list[Job]:
     jobs = []
     for number in range(first, first + count):
         submission = Submission(
@@ -58,41 +58,41 @@
             tenant=tenant,
         )
         job = Job(submission)
-        bench.shard.add_job(job, bench.now, WALL_MS)
+        harness.shard.add_job(job, harness.now, WALL_MS)
         jobs.append(job)
     return jobs
 
 
 @pytest.fixture
-def bench() -> Bench:
+def harness() -> Bench:
     shard = Shard("s", epoch=3, claimed_at=50.0)
     shard.rates = build_rates()
-    bench = Bench(shard)
-    # room for eight tasks
-    bench.add_worker("w1")
-    return bench
+    harness = Bench(shard)
+    # capacity for eight tasks
+    harness.add_worker("w1")
+    return harness
 
 
-def test_flood_of_one_tenant_does_not_push_another_back(bench: Bench) -> None:
-    assert bench.shard.rates is not None
+def test_overload_by_one_tenant_does_not_delay_another(harness: Bench) -> None:
+    assert harness.shard.rates is not None
     for _ in range(int(4 * BURST_S)):
-        bench.shard.rates.is_within("large", WALL_MS / 1000)
-    flood = add_jobs(bench, "large", 40, 0)
-    small = add_jobs(bench, "small", 1, 100)
-    started = {order.task.job_id for order in bench.plan()}
+        harness.shard.rates.is_within("large", WALL_MS / 1000)
+    over_rate = add_jobs(harness, "large", 40, 0)
+    small = add_jobs(harness, "small", 1, 100)
+    started = {order.task.job_id for order in harness.plan()}
     assert small[0].submission.job_id in started
     assert len(started) == 8
-    assert all(job.beyond for job in flood)
+    assert all(job.beyond for job in over_rate)
 
 
-def test_idle_room_is_used_by_jobs_beyond_the_rate_at_once(bench: Bench) -> None:
-    add_jobs(bench, "small", 8, 0)
-    assert len(bench.plan()) == 8
+def test_jobs_over_the_rate_use_idle_capacity_at_once(harness: Bench) -> None:
+    add_jobs(harness, "small", 8, 0)
+    assert len(harness.plan()) == 8
 
 
-def test_without_rates_the_order_is_by_urgency_alone(bench: Bench) -> None:
-    bench.shard.rates = None
-    jobs = add_jobs(bench, "large", 8, 0)
-    late = add_jobs(bench, "small", 1, 100)
+def test_without_rates_the_order_is_by_urgency_alone(harness: Bench) -> None:
+    harness.shard.rates = None
+    jobs = add_jobs(harness, "large", 8, 0)
+    late = add_jobs(harness, "small", 1, 100)
     assert not any(job.beyond for job in [*jobs, *late])
     assert attrs.asdict(jobs[0].submission)["tenant"] == "large"
