--- a/src/onyxgap/jobs/advice.py
+++ b/src/onyxgap/jobs/advice.py
@@ -1,7 +1,7 @@
-"""Which workers a policy service allows for a step, and for how long.
+"""Cache of the tickets with which a policy service allows workers to run a step.
 
-Answers queues whose starts are refused without a ticket: a step asks once for the
-workers that could take it, and asks again when its tickets run out.
+Some queues require a ticket for each start. A step requests tickets once for all
+workers that could run it, and again when they expire.
 """
 
 import typing as t
@@ -10,20 +10,22 @@
 
 from .placing import Group
 
-MAX_ASKED = 30
-"""Workers named in one question; the objective of a job counts one such call a step."""
-VALID_MARGIN_S = 0.3
-"""A ticket is not used in the last moments of its time: the order has to arrive."""
-EMPTY_PAUSE_S = 0.5
-"""Pause before a step asks again that no worker may run, or that got no answer."""
+MAX_WORKERS_PER_REQUEST = 30
+"""Workers in one request; the objective of a job allows for one such call per step."""
+EXPIRY_MARGIN_S = 0.3
+"""A ticket is not used this shortly before it expires: the start order takes time to
+arrive."""
+EMPTY_RETRY_S = 0.5
+"""Time until the next request for a step that no worker may run or that got no
+response."""
 
 
 @attrs.frozen(slots=True)
 class Advice:
-    """An answer of the policy service.
+    """A response of the policy service.
 
-    :param tickets: ticket by worker that may run the step.
-    :param valid_s: seconds for which the tickets hold.
+    :param tickets: ticket by worker, for the workers that may run the step.
+    :param valid_s: seconds for which the tickets are valid.
     """
 
     tickets: t.Mapping[str, str]
@@ -31,66 +33,73 @@
 
 
 class Adviser(t.Protocol):
-    """The policy service."""
+    """Client of the policy service."""
 
     async def advise(self, step: str, workers: t.Sequence[str]) -> Advice | None:
-        """Ask which of some workers may run a step; ``None`` without an answer."""
+        """Request tickets for a step.
+
+        :param step: job, occurrence and number of the step.
+        :param workers: workers that could run it.
+        :returns: the response, or ``None`` if there was none.
+        """
 
 
 @attrs.define(slots=True)
-class _Entry:
+class _CachedAdvice:
     advice: Advice
-    until: float
+    expires_at: float
 
 
 @attrs.define
 class AdviceBook:
-    """Tickets of the steps of a shard, and the questions that are open.
+    """Tickets of the steps of a shard, and the pending requests for them.
 
-    :param wanted: workers to ask about, by step, the most urgent step first.
+    :param wanted: pending requests: workers by step, the most urgent step first.
     """
 
     wanted: dict[Group, tuple[str, ...]] = attrs.field(factory=dict)
-    _entries: dict[Group, _Entry] = attrs.field(factory=dict)
+    _entries: dict[Group, _CachedAdvice] = attrs.field(factory=dict)
 
     def get_tickets(self, group: Group, now: float) -> t.Mapping[str, str] | None:
-        """Give the valid tickets of a step, ``None`` where it has to ask."""
+        """Give the valid tickets of a step, or ``None`` if it has to request them."""
         entry = self._entries.get(group)
-        if entry is None or now >= entry.until:
+        if entry is None or now >= entry.expires_at:
             return None
         return entry.advice.tickets
 
     def ask(self, group: Group, workers: t.Sequence[str]) -> None:
-        """Note that a step needs tickets.
+        """Add a request for tickets.
 
         :param group: job, occurrence and number of the step.
-        :param workers: workers that could take it, the best first.
+        :param workers: workers that could run it, the best first.
         """
-        self.wanted[group] = tuple(workers[:MAX_ASKED])
+        self.wanted[group] = tuple(workers[:MAX_WORKERS_PER_REQUEST])
 
     def take_question(self) -> tuple[Group, tuple[str, ...]] | None:
-        """Take the first open question."""
+        """Remove and return the first pending request."""
         for group in self.wanted:
             return group, self.wanted.pop(group)
         return None
 
     def note(self, group: Group, advice: Advice | None, now: float) -> None:
-        """Take in an answer, or that none came.
+        """Store a response, or record that there was none.
 
-        :param group: the step.
-        :param advice: the answer.
-        :param now: monotonic seconds when the question was sent.
+        :param group: job, occurrence and number of the step.
+        :param advice: the response, ``None`` if there was none.
+        :param now: monotonic seconds when the request was sent.
         """
         if advice is None or not advice.tickets:
-            advice = Advice({}, EMPTY_PAUSE_S + VALID_MARGIN_S)
-        self._entries[group] = _Entry(advice, now + advice.valid_s - VALID_MARGIN_S)
+            advice = Advice({}, EMPTY_RETRY_S + EXPIRY_MARGIN_S)
+        self._entries[group] = _CachedAdvice(
+            advice, now + advice.valid_s - EXPIRY_MARGIN_S
+        )
 
     def drop(self, group: Group) -> None:
-        """Forget the tickets of a step: one was refused."""
+        """Remove the tickets of a step, one of which was refused."""
         self._entries.pop(group, None)
 
     def forget_job(self, job_id: str) -> None:
-        """Forget everything about a job that has ended."""
+        """Remove the tickets and pending requests of a job that has ended."""
         for group in [group for group in self._entries if group[0] == job_id]:
             del self._entries[group]
         for group in [group for group in self.wanted if group[0] == job_id]:
--- a/src/onyxgap/jobs/load.py
+++ b/src/onyxgap/jobs/load.py
@@ -1,4 +1,4 @@
-"""How much of a worker jobs take, for the sizes of pools."""
+"""Load of jobs in fractions of a worker, used to size pools."""
 
 from .job import Job
 from .job import Task
@@ -8,10 +8,10 @@
 
 
 def measure_share(step: Step, capacity: tuple[int, int]) -> float:
-    """Measure which part of a worker a task takes.
+    """Give the fraction of a worker that a task occupies.
 
     :param step: its step.
-    :param capacity: cores in thousandths and MB of a worker.
+    :param capacity: millicores and MB of memory of a worker.
     """
     cpu, memory_mb = capacity
     if not cpu or not memory_mb:
@@ -21,10 +21,10 @@
 
 
 def measure_work(job: Job, capacity: tuple[int, int]) -> float:
-    """Measure the work of a job's tasks that end by themselves, in VM seconds.
+    """Estimate the work of a job in VM seconds, without its long-running steps.
 
-    :param job: the job; of one that runs several times, the first occurrence.
-    :param capacity: cores in thousandths and MB of a worker.
+    :param job: the job; for a scheduled job, the result covers one occurrence.
+    :param capacity: millicores and MB of memory of a worker.
     """
     return sum(
         step.count * measure_share(step, capacity) * step.estimate_ms / MS
@@ -33,10 +33,16 @@
     )
 
 
-def get_demand(step: Step, task: Task, waits: str) -> str:
-    """Name the sum of a report that a task counts in, or an empty text."""
+def get_demand(step: Step, task: Task, unplaced_kind: str) -> str:
+    """Name the total of a load report that a task counts towards.
+
+    :param step: the task's step.
+    :param task: the task.
+    :param unplaced_kind: name to give for a task that is not placed.
+    :returns: name of the total, empty if the task counts towards none.
+    """
     if task.phase is TaskPhase.DONE:
         return ""
     if step.long_running:
         return "serving"
-    return "batch" if task.placed else waits
+    return "batch" if task.placed else unplaced_kind
--- a/src/onyxgap/jobs/stragglers.py
+++ b/src/onyxgap/jobs/stragglers.py
@@ -1,9 +1,9 @@
-"""Finds workers whose tasks stand still or crawl; answers workers that turn slow.
+"""Detects workers whose tasks are stalled or slow.
 
-A job ends with its slowest task: where one worker of eight stands still, one of two
-jobs of six tasks has a task there, if they are spread evenly. The worker's
-registration looks sound all the while. Its tasks are stopped and started elsewhere,
-and it gets no new ones for some seconds.
+A job ends with its slowest task: if one worker of eight is stalled and tasks are spread
+evenly, one in two jobs of six tasks has a task on it. The worker's registration stays
+valid all the while. The worker's tasks are stopped and started elsewhere, and it gets
+no new ones for some seconds.
 """
 
 import enum
@@ -12,23 +12,23 @@
 
 from .job import Task
 
-SLOW_SHARE = 0.3
-"""Share of the speed of other tasks of the same step below which a task is slow: they
-differ by a third, slow workers are four times slower or more. Declared run times say
-nothing here, they are off by more than that from job to job."""
-LEAST_RATIOS = 2
-"""Tasks of a worker that must be compared with others before it counts as slow."""
-BLOCK_S = 2.0
-"""Time without new tasks for a worker that was found slow; it is then tried again,
-which costs what it gets meanwhile about a second."""
-MOST_BLOCK_S = 8.0
-"""Longest such time; it doubles while the worker is found slow again."""
+SLOW_SPEED_RATIO = 0.3
+"""Speed relative to other tasks of the same step below which a worker is slow. These
+tasks differ by a third, and slow workers are at least four times slower. Declared run
+times are no reference: their error from job to job is larger than that."""
+MIN_COMPARED_TASKS = 2
+"""Number of a worker's tasks that must be compared with others to find it slow."""
+INITIAL_BLOCK_S = 2.0
+"""Time for which a slow worker gets no new tasks. It is then tried again, which costs
+the tasks that it gets about a second."""
+MAX_BLOCK_S = 8.0
+"""Upper bound of the block time, which doubles each time the worker is slow again."""
 MOST_MOVES = 2
-"""Times that a task is taken off a worker: one that is slow everywhere stays then."""
+"""Number of times that a task is moved; a task that is slow everywhere then stays."""
 
 
 class Pace(enum.Enum):
-    """How fast the tasks of a worker proceed."""
+    """Speed class of a worker, by the progress of its tasks."""
 
     UNKNOWN = "unknown"
     SOUND = "sound"
@@ -41,7 +41,8 @@
 
     :param task: the task.
     :param siblings: all tasks of its step.
-    :returns: its share of their median speed, ``None`` where none is known.
+    :returns: its speed as a fraction of their median speed, or ``None`` if its speed is
+        unknown or there is none to compare it with.
     """
     if task.progress is None or task.progress.speed is None:
         return None
@@ -56,23 +57,26 @@
 
 
 def judge_pace(speeds: t.Sequence[float], ratios: t.Sequence[float]) -> Pace:
-    """Judge a worker by its tasks.
+    """Classify a worker by the speed of its tasks.
 
-    :param speeds: speeds of its tasks, as far as they are known.
-    :param ratios: shares of the speed of their steps elsewhere, as far as known.
+    :param speeds: known speeds of its tasks.
+    :param ratios: known speeds of its tasks relative to their steps on other workers.
     """
     if not speeds:
         return Pace.UNKNOWN
     if not any(speeds):
         return Pace.STANDING
-    if len(ratios) >= LEAST_RATIOS and statistics.median(ratios) < SLOW_SHARE:
+    if (
+        len(ratios) >= MIN_COMPARED_TASKS
+        and statistics.median(ratios) < SLOW_SPEED_RATIO
+    ):
         return Pace.SLOW
     return Pace.SOUND
 
 
 def choose_block(findings: int) -> float:
-    """Choose for how many seconds a slow worker gets no new tasks.
+    """Give the number of seconds for which a slow worker gets no new tasks.
 
-    :param findings: times in a row that it was found slow before.
+    :param findings: number of times in a row that it was found slow before.
     """
-    return min(BLOCK_S * 2.0**findings, MOST_BLOCK_S)
+    return min(INITIAL_BLOCK_S * 2.0**findings, MAX_BLOCK_S)
--- a/src/onyxgap/jobs/waiting.py
+++ b/src/onyxgap/jobs/waiting.py
@@ -1,4 +1,4 @@
-"""Counts of waiting jobs and their sources."""
+"""Number of waiting jobs in a queue, with the source of the figure."""
 
 import enum
 
@@ -9,7 +9,9 @@
     """Source of a count of waiting jobs."""
 
     OWNER = "owner"
+    """The memory of the shard's owner."""
     OWNER_ROW = "owner-row"
+    """The owner's row as last read by this node."""
     NONE = "none"
 
 
@@ -18,9 +20,9 @@
     """Number of jobs in a queue that have not started, with its source.
 
     :param count: number of waiting jobs, ``None`` if it is not known.
-    :param source: the owner's memory, the owner's row, or none.
+    :param source: source of the count.
     :param age_s: seconds since this node read the owner's row, 0 for other sources.
-    :param epoch: fencing token of the owner that counted, 0 without a source.
+    :param epoch: fencing token of the owner that counted, 0 if there is no source.
     """
 
     count: int | None
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -1,11 +1,11 @@
-"""Queues whose starts need a ticket of the policy service."""
+"""Starts of tasks in queues that require tickets of the policy service."""
 
 import attrs
 import orjson
 import pytest
 
-from onyxgap.jobs.advice import EMPTY_PAUSE_S
-from onyxgap.jobs.advice import MAX_ASKED
+from onyxgap.jobs.advice import EMPTY_RETRY_S
+from onyxgap.jobs.advice import MAX_WORKERS_PER_REQUEST
 from onyxgap.jobs.advice import Advice
 from onyxgap.jobs.job import Job
 from onyxgap.jobs.messages import Step
@@ -26,7 +26,7 @@
 @pytest.fixture
 def shard() -> Shard:
     shard = Shard("s", 1, 0.0)
-    for number in range(MAX_ASKED + 5):
+    for number in range(MAX_WORKERS_PER_REQUEST + 5):
         worker_id = f"w{number}"
         shard.observe_worker(attrs.evolve(ENTRY, worker_id=worker_id), NOW)
         shard.apply_report(worker_id, HoldReport(1000.0, (), ()), NOW, NOW)
@@ -36,29 +36,29 @@
     return shard
 
 
-def test_step_asks_before_anything_is_placed(shard: Shard) -> None:
+def test_step_requests_tickets_before_its_tasks_are_placed(shard: Shard) -> None:
     assert shard.plan(NOW, 0.0) == []
-    question = shard.book.take_question()
-    assert question is not None
-    group, workers = question
+    request = shard.book.take_question()
+    assert request is not None
+    group, workers = request
     assert group == GROUP
-    assert len(workers) == MAX_ASKED
+    assert len(workers) == MAX_WORKERS_PER_REQUEST
     assert shard.book.take_question() is None
 
 
-def test_tasks_go_only_where_a_ticket_allows_and_carry_it(shard: Shard) -> None:
+def test_tasks_are_placed_only_with_a_ticket_and_carry_it(shard: Shard) -> None:
     shard.book.note(GROUP, Advice({"w3": "t3"}, 3.0), NOW)
     orders = shard.plan(NOW, 0.0)
     assert [(order.worker_id, order.ticket) for order in orders] == [("w3", "t3")] * 2
 
 
-def test_tickets_run_out(shard: Shard) -> None:
+def test_expired_tickets_are_requested_again(shard: Shard) -> None:
     shard.book.note(GROUP, Advice({"w3": "t3"}, 3.0), NOW)
     assert shard.plan(NOW + 2.8, 0.0) == []
     assert GROUP in shard.book.wanted
 
 
-def test_refused_ticket_is_asked_for_again(shard: Shard) -> None:
+def test_refused_ticket_is_requested_again(shard: Shard) -> None:
     shard.book.note(GROUP, Advice({"w3": "t3"}, 3.0), NOW)
     for order in shard.plan(NOW, 0.0):
         ready = shard.prepare_start(order, NOW)
@@ -69,24 +69,24 @@
 
 
 @pytest.mark.parametrize("advice", [None, Advice({}, 9.0)])
-def test_empty_advice_is_not_asked_for_in_a_loop(
+def test_empty_response_is_not_requested_again_at_once(
     shard: Shard, advice: Advice | None
 ) -> None:
     shard.book.note(GROUP, advice, NOW)
-    assert shard.plan(NOW + EMPTY_PAUSE_S / 2, 0.0) == []
+    assert shard.plan(NOW + EMPTY_RETRY_S / 2, 0.0) == []
     assert not shard.book.wanted
-    assert shard.plan(NOW + EMPTY_PAUSE_S * 1.1, 0.0) == []
+    assert shard.plan(NOW + EMPTY_RETRY_S * 1.1, 0.0) == []
     assert GROUP in shard.book.wanted
 
 
-def test_advice_of_an_ended_job_is_forgotten(shard: Shard) -> None:
+def test_requests_of_an_ended_job_are_removed(shard: Shard) -> None:
     shard.plan(NOW, 0.0)
     shard.cancel(GROUP[0])
     shard.mark_stored(GROUP[0], shard.jobs[GROUP[0]].state, NOW)
     assert not shard.book.wanted
 
 
-def test_answers_are_decoded() -> None:
+def test_responses_are_decoded() -> None:
     body = {"good": [["i-1", "c81e"]], "valid_ms": 3000}
     assert decode_advice(Answer(200, orjson.dumps(body))) == Advice({"i-1": "c81e"}, 3)
     assert decode_advice(Answer(429)) is None
