--- a/src/onyxgap/jobs/admission.py
+++ b/src/onyxgap/jobs/admission.py
@@ -1,8 +1,9 @@
-"""Whether a job that comes now can still be of use; answers a line that is too long.
+"""Admission control: rejects jobs that would wait too long to be useful.
 
-The owner of a shard tells in its row how long its line is. A node refuses at once what
-cannot be in time and, behind all that stands before it, cannot be of use either: its
-caller may come back when the line has become shorter, in place of waiting for nothing.
+The owner of a shard publishes estimated queueing delays in its row. A node rejects a
+job that can neither meet its objective nor, behind the whole backlog ahead of it, end
+while its result is still useful. The caller gets a retry time instead of waiting for a
+useless result.
 """
 
 import math
@@ -15,26 +16,27 @@
 from .load import measure_share
 from .messages import Submission
 from .priorities import MS
-from .priorities import USE_FACTOR
-from .priorities import Standing
+from .priorities import USEFUL_FACTOR
+from .priorities import Timeliness
 from .ready import Ready
 from .run_times import RunTimes
 
-GROW_S = 2.2
-"""Time from the need of a VM until it serves: a move, and its worker's first hold."""
-MOST_OVER = 20
-"""Tenants that an outlook names; a row is read by each node each 0.7 s."""
-LEAST_RETRY_S = 1
-MOST_RETRY_S = 10
-"""Bounds of what refused callers are told: an outlook does not reach further."""
+SCALE_UP_S = 2.2
+"""Time until a VM that a pool needs runs tasks: moving it to the pool, and the first
+hold request to its worker."""
+MAX_LISTED_TENANTS = 20
+"""Bounds the size of an estimate: every node reads the owner row every 0.7 s."""
+MIN_RETRY_S = 1
+MAX_RETRY_S = 10
+"""Bounds of the retry time; an estimate says nothing about a later time."""
 
 
 @attrs.frozen(slots=True)
-class Line:
-    """How long a job waits that comes now, in seconds of the whole pool.
+class QueueDelay:
+    """Least wait of a job that arrives now if the whole pool works on the backlog.
 
-    :param in_time_s: behind those that can be in time.
-    :param of_use_s: behind those that can be of use, too.
+    :param in_time_s: seconds behind jobs that can still meet their objectives.
+    :param of_use_s: seconds behind these and the late jobs that are still useful.
     """
 
     in_time_s: float = 0.0
@@ -43,82 +45,89 @@
 
 @attrs.frozen(slots=True)
 class Outlook:
-    """The line of a shard, as its owner tells it.
+    """Queueing delays of a shard as estimated by its owner.
 
-    :param within: for tenants within their shares of the pool.
-    :param beyond: for the others.
-    :param over: names of the others, as many as are told.
-    :param job_s: seconds of the whole pool that one waiting step takes.
+    :param within: delay for tenants within their fair shares of the pool.
+    :param beyond: delay for tenants over their shares.
+    :param over: names of tenants over their shares, at most
+        :data:`MAX_LISTED_TENANTS`.
+    :param job_s: mean seconds for which one waiting step occupies the whole pool.
     """
 
-    within: Line = Line()
-    beyond: Line = Line()
+    within: QueueDelay = QueueDelay()
+    beyond: QueueDelay = QueueDelay()
     over: tuple[str, ...] = ()
     job_s: float = 0.0
 
-    def find_line(self, tenant: str) -> Line:
-        """Find the line in which a tenant's jobs stand."""
+    def get_delay(self, tenant: str) -> QueueDelay:
+        """Give the delay that applies to a tenant's jobs."""
         return self.beyond if tenant in self.over else self.within
 
 
 @attrs.frozen(slots=True)
 class PoolRoom:
-    """The VMs of a pool, and the most that it can get.
+    """Number of VMs of a pool, and of those that it may grow to.
 
-    :param vms: workers that take tasks now.
-    :param fleet: VMs of all pools, 0 where they are not known.
+    :param vms: workers that accept tasks now.
+    :param fleet: VMs of all pools, 0 if unknown.
     """
 
     vms: int
     fleet: int = 0
 
-    def measure_wait(self, work_s: float) -> float:
-        """Measure for how long some work surely occupies the pool.
+    def estimate_min_wait(self, work_s: float) -> float:
+        """Estimate the least time in which the pool can process some work.
 
-        Only what is certain counts against a job: all VMs may come to this pool.
+        A job is rejected only for a delay that is certain. The estimate therefore
+        assumes that all VMs of the fleet join this pool after :data:`SCALE_UP_S`.
 
         :param work_s: VM seconds.
+        :returns: seconds.
         """
-        if work_s <= self.vms * GROW_S:
+        if work_s <= self.vms * SCALE_UP_S:
             return round(work_s / self.vms, 3)
-        left_s = work_s - self.vms * GROW_S
-        return round(GROW_S + left_s / max(self.vms, self.fleet), 3)
+        left_s = work_s - self.vms * SCALE_UP_S
+        return round(SCALE_UP_S + left_s / max(self.vms, self.fleet), 3)
 
 
 def encode_outlook(outlook: Outlook) -> dict[str, t.Any]:
-    """Give an outlook as JSON, empty where nothing waits."""
+    """Encode an estimate as JSON; an empty backlog gives an empty object."""
     return attrs.asdict(outlook) if outlook != Outlook() else {}
 
 
 def decode_outlook(raw: t.Mapping[str, t.Any]) -> Outlook:
-    """Read what :func:`encode_outlook` gave.
+    """Decode the output of :func:`encode_outlook`.
 
-    :raises TypeError: when it has another form.
+    :raises KeyError: if a field is missing.
+    :raises TypeError: if it has another form.
     """
     if not raw:
         return Outlook()
     return Outlook(
-        Line(**raw["within"]), Line(**raw["beyond"]), tuple(raw["over"]), raw["job_s"]
+        QueueDelay(**raw["within"]),
+        QueueDelay(**raw["beyond"]),
+        tuple(raw["over"]),
+        raw["job_s"],
     )
 
 
 def measure_outlook(
-    line: t.Iterable[Ready],
+    backlog: t.Iterable[Ready],
     capacity: tuple[int, int],
-    room: PoolRoom,
+    pool: PoolRoom,
     run_times: RunTimes,
 ) -> Outlook:
-    """Measure the line of a shard.
+    """Estimate the queueing delays of a shard.
 
-    :param line: what waits, as the last plan ordered it.
-    :param capacity: cores in thousandths and MB of a worker.
-    :param room: the pool's VMs.
-    :param run_times: what the shard's tasks took.
+    :param backlog: waiting tasks as ordered by the last scheduling pass.
+    :param capacity: millicores and MB of memory of a worker.
+    :param pool: the pool's VMs.
+    :param run_times: measured run times of the shard's tasks.
     """
-    work: dict[tuple[Standing, bool], float] = {}
+    work: dict[tuple[Timeliness, bool], float] = {}
     over: dict[str, None] = {}
     steps = 0
-    for item in line:
+    for item in backlog:
         waiting = sum(task.phase is TaskPhase.WAITING for task in item.tasks)
         step = item.job.submission.steps[item.step]
         if not waiting or step.long_running:
@@ -130,73 +139,78 @@
         work[key] = work.get(key, 0.0) + waiting * share_s
         if item.beyond:
             over[item.job.submission.tenant] = None
-    if not room.vms or not steps:
+    if not pool.vms or not steps:
         return Outlook()
-    in_within = work.get((Standing.IN_TIME, False), 0.0)
-    in_all = in_within + work.get((Standing.IN_TIME, True), 0.0)
-    use_within = in_all + work.get((Standing.OF_USE, False), 0.0)
-    use_all = use_within + work.get((Standing.OF_USE, True), 0.0)
+    in_within = work.get((Timeliness.IN_TIME, False), 0.0)
+    in_all = in_within + work.get((Timeliness.IN_TIME, True), 0.0)
+    use_within = in_all + work.get((Timeliness.OF_USE, False), 0.0)
+    use_all = use_within + work.get((Timeliness.OF_USE, True), 0.0)
     return Outlook(
-        Line(room.measure_wait(in_within), room.measure_wait(use_within)),
-        Line(room.measure_wait(in_all), room.measure_wait(use_all)),
-        tuple(over)[:MOST_OVER],
-        round(use_all / max(room.vms, room.fleet) / steps, 5),
+        QueueDelay(
+            pool.estimate_min_wait(in_within), pool.estimate_min_wait(use_within)
+        ),
+        QueueDelay(pool.estimate_min_wait(in_all), pool.estimate_min_wait(use_all)),
+        tuple(over)[:MAX_LISTED_TENANTS],
+        round(use_all / max(pool.vms, pool.fleet) / steps, 5),
     )
 
 
 @attrs.frozen(slots=True)
-class Overload:
-    """Why a job is refused, and when its caller should come back.
+class OverloadRejection:
+    """Why a job is rejected, and when its caller should retry.
 
-    :param line: the line that it would stand in.
-    :param use_s: time within which it would have to start to be of use.
-    :param retry_after_s: seconds.
+    :param line: estimated queueing delay of the job.
+    :param use_s: longest wait in seconds after which its result is still useful.
+    :param retry_after_s: seconds after which the caller should retry.
     """
 
-    line: Line
+    line: QueueDelay
     use_s: float
     retry_after_s: int
 
 
 @attrs.define
 class Gate:
-    """Judges the jobs that one node is asked to accept.
+    """Admits or rejects the jobs that are submitted to one node.
 
-    Callers that are refused are told to come back one after the other, in the order in
-    which they were refused, as fast as the line moves.
+    Retry times are staggered: rejected callers retry in the order in which they were
+    rejected, at the rate at which the backlog drains.
     """
 
-    _told: dict[str, tuple[float, float]] = attrs.field(factory=dict)
+    _retry_backlogs: dict[str, tuple[float, float]] = attrs.field(factory=dict)
 
     def judge(
         self, submission: Submission, outlook: Outlook, nodes: int, now: float
-    ) -> Overload | None:
-        """Judge a job; ``None`` where it may be of use.
+    ) -> OverloadRejection | None:
+        """Check whether a job should be admitted.
+
+        Scheduled jobs and jobs with long-running steps are always admitted.
 
         :param submission: the job.
-        :param outlook: of its shard.
-        :param nodes: nodes that take calls, which refuse alike.
+        :param outlook: delay estimate of its shard.
+        :param nodes: number of nodes that accept jobs; each of them rejects alike.
         :param now: monotonic seconds.
+        :returns: the rejection, or ``None`` if the job is admitted.
         """
         if submission.times or any(step.long_running for step in submission.steps):
             return None
-        objective_s, chain_s = _measure(submission)
-        line = outlook.find_line(submission.tenant)
-        use_s = USE_FACTOR * objective_s - chain_s
-        if line.in_time_s <= objective_s - chain_s or line.of_use_s <= use_s:
+        objective_s, chain_s = _get_objective(submission)
+        delay = outlook.get_delay(submission.tenant)
+        use_s = USEFUL_FACTOR * objective_s - chain_s
+        if delay.in_time_s <= objective_s - chain_s or delay.of_use_s <= use_s:
             return None
         shard = submission.policy.service
-        until, at = self._told.get(shard, (0.0, now))
-        # the line moved on since the last refusal
-        behind_s = max(0.0, until - (now - at)) + outlook.job_s * max(1, nodes)
-        self._told[shard] = (behind_s, now)
-        wait_s = line.of_use_s - use_s + behind_s
-        retry_after_s = min(max(math.ceil(wait_s), LEAST_RETRY_S), MOST_RETRY_S)
-        return Overload(line, use_s, retry_after_s)
+        last_s, at = self._retry_backlogs.get(shard, (0.0, now))
+        # the backlog has drained since the last rejection
+        behind_s = max(0.0, last_s - (now - at)) + outlook.job_s * max(1, nodes)
+        self._retry_backlogs[shard] = (behind_s, now)
+        wait_s = delay.of_use_s - use_s + behind_s
+        retry_after_s = min(max(math.ceil(wait_s), MIN_RETRY_S), MAX_RETRY_S)
+        return OverloadRejection(delay, use_s, retry_after_s)
 
 
-def _measure(submission: Submission) -> tuple[float, float]:
-    """Measure objective and longest chain of declared work, in seconds."""
+def _get_objective(submission: Submission) -> tuple[float, float]:
+    """Give objective and longest chain of declared run times, in seconds."""
     chain_s = max(measure_tails(submission.steps), default=0.0) / MS
     policy = submission.policy
     return policy.stretch * chain_s + policy.slo_ms / MS, chain_s
--- a/src/onyxgap/jobs/fair_shares.py
+++ b/src/onyxgap/jobs/fair_shares.py
@@ -1,10 +1,10 @@
-"""Who is within its share of a pool; answers tenants that ask for more than there is.
+"""Weighted max-min fair sharing of a pool that can't serve all its tenants.
 
-The room is shared by weight, and a tenant counts by what it takes most of (dominant
-resource fairness). What one leaves goes to the others by weight. Within their shares
-tenants' jobs get room by urgency, as if there were one line; what is beyond a share
-stands behind them and uses what they leave. Where all can be in time in one line,
-nobody stands behind.
+Capacity is divided by weight. A tenant's usage is that of its dominant resource
+(dominant resource fairness), and what a tenant doesn't need goes to the others by
+weight. Within the tenants' shares, steps are ordered by urgency, regardless of the
+tenant. Steps over a share are ordered after these and use the capacity that is left. If
+all jobs can be in time when ordered by urgency alone, shares are not applied.
 """
 
 import typing as t
@@ -15,110 +15,113 @@
 from .amounts import Amount
 from .amounts import measure_task
 from .priorities import MS
-from .priorities import Standing
+from .priorities import Timeliness
 from .ready import Ready
 from .shares import measure_fraction
 
-LEAST_WEIGHT = 1e-3
-"""A tenant without a weight gets what others leave, and little of what they don't."""
+MIN_WEIGHT = 1e-3
+"""Weight of a tenant without one: it gets what others leave, and little else."""
 
 
 @attrs.frozen(slots=True)
-class Claim:
-    """What a tenant has and asks for, as parts of all the room that is shared.
+class TenantDemand:
+    """Weight and demand of a tenant.
 
     :param weight: its weight.
-    :param wanted: part that it holds in all pools, or waits for in this one.
+    :param fraction: what it uses in all pools and waits for in this one, as a fraction
+        of the shared capacity.
     """
 
     weight: float
-    wanted: float
+    fraction: float
 
 
-def share_by_weight(claims: t.Mapping[str, Claim]) -> dict[str, float]:
-    """Share the room, which is 1, so that who asks for less leaves the rest to others.
+def share_by_weight(demands: t.Mapping[str, TenantDemand]) -> dict[str, float]:
+    """Divide a capacity of 1 by weighted max-min fairness.
 
-    :param claims: what tenants ask for.
-    :returns: the part of each, never more than it asks for.
+    :param demands: demand by tenant.
+    :returns: share by tenant, at most its demand.
     """
     left = 1.0
-    weights = sum(claim.weight for claim in claims.values())
-    parts = {}
-    for tenant, claim in sorted(
-        claims.items(), key=lambda item: item[1].wanted / item[1].weight
+    weights = sum(demand.weight for demand in demands.values())
+    shares = {}
+    for tenant, demand in sorted(
+        demands.items(), key=lambda item: item[1].fraction / item[1].weight
     ):
-        part = min(claim.wanted, left * claim.weight / weights)
-        parts[tenant] = part
-        left -= part
-        weights -= claim.weight
-    return parts
+        share = min(demand.fraction, left * demand.weight / weights)
+        shares[tenant] = share
+        left -= share
+        weights -= demand.weight
+    return shares
 
 
 @attrs.define
 class PoolDemand:
-    """What tenants have and want in one pool at a plan.
+    """Usage of one pool by tenant, as of a scheduling pass.
 
-    :param capacity: all that the pool's workers offer.
-    :param used: what tenants have running there.
-    :param elsewhere: what they hold in other pools.
+    :param capacity: total capacity of the pool's workers.
+    :param used: usage of this pool by tenant.
+    :param used_elsewhere: usage of other pools by tenant.
     """
 
     capacity: Amount
     used: t.Mapping[str, Amount]
-    elsewhere: t.Mapping[str, Amount]
-    _room: Amount = attrs.field(init=False)
+    used_elsewhere: t.Mapping[str, Amount]
+    _shared: Amount = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._room = sum(self.elsewhere.values(), self.capacity)
+        self._shared = sum(self.used_elsewhere.values(), self.capacity)
 
     def measure(self, amount: Amount) -> float:
-        """Measure an amount as a part of all the room that is shared."""
-        return measure_fraction(amount, self._room)
+        """Give the fraction of the shared capacity that an amount takes.
 
-    def find_shares(
+        The shared capacity is that of this pool and what tenants use in other pools.
+        """
+        return measure_fraction(amount, self._shared)
+
+    def compute_shares(
         self,
         waiting: t.Mapping[str, Amount],
         find_weight: t.Callable[[str], float],
     ) -> dict[str, float] | None:
-        """Find the part of each tenant, ``None`` where there is room for all.
+        """Compute each tenant's fair share of the shared capacity.
 
-        :param waiting: what waits, by tenant.
+        :param waiting: resources that waiting tasks need, by tenant.
         :param find_weight: gives a tenant's weight.
+        :returns: share by tenant, or ``None`` if the pool has capacity for all.
         """
         total = sum([*self.used.values(), *waiting.values()], NOTHING)
         if total.fits(self.capacity):
             return None
-        claims = {}
+        demands = {}
         for tenant in sorted({*self.used, *waiting}):
-            held = self.elsewhere.get(tenant, NOTHING)
+            elsewhere = self.used_elsewhere.get(tenant, NOTHING)
             here = self.used.get(tenant, NOTHING) + waiting.get(tenant, NOTHING)
-            claims[tenant] = Claim(
-                max(find_weight(tenant), LEAST_WEIGHT), self.measure(held + here)
+            demands[tenant] = TenantDemand(
+                max(find_weight(tenant), MIN_WEIGHT), self.measure(elsewhere + here)
             )
-        return share_by_weight(claims)
+        return share_by_weight(demands)
 
 
-def can_all_be_in_time(
-    ready: t.Sequence[Ready], demand: PoolDemand, now: float
-) -> bool:
-    """Tell whether all that can be in time will be, the most urgent first.
+def can_all_be_in_time(ready: t.Sequence[Ready], usage: PoolDemand, now: float) -> bool:
+    """Tell whether ordering by urgency alone keeps in time all steps that can be.
 
-    A full pool frees itself once in the run time of its tasks. While that suffices,
-    each job that waits for those that are more urgent is in time nevertheless.
+    A full pool turns over once per run time of its tasks. While that suffices, each job
+    is in time even though it waits for the more urgent ones.
 
-    :param ready: what may start, the most urgent first.
-    :param demand: what tenants have and want.
+    :param ready: steps that may start, the most urgent first.
+    :param usage: usage of the pool.
     :param now: monotonic seconds.
     """
-    used = sum(demand.used.values(), NOTHING)
-    free = max(0.0, 1.0 - measure_fraction(used, demand.capacity))
+    used = sum(usage.used.values(), NOTHING)
+    free = max(0.0, 1.0 - measure_fraction(used, usage.capacity))
     work_s = 0.0
     for item in ready:
         step = item.job.submission.steps[item.step]
         if item.urgency.late or step.long_running:
             continue
         run_s = step.estimate_ms / MS
-        work_s += measure_fraction(_measure(item), demand.capacity) * run_s
+        work_s += measure_fraction(_get_amount(item), usage.capacity) * run_s
         if work_s > max(0.0, item.urgency.latest_start - now) + free * run_s:
             return False
     return True
@@ -126,30 +129,30 @@
 
 def mark_beyond(
     ready: t.Sequence[Ready],
-    demand: PoolDemand,
+    usage: PoolDemand,
     find_weight: t.Callable[[str], float],
 ) -> int:
-    """Mark the steps that lie beyond their tenants' shares.
+    """Mark the steps that are over their tenants' shares.
 
-    The step with which a tenant reaches its share is still within it, so that a small
-    tenant with wide steps is not left out.
+    The step with which a tenant reaches its share counts as within it. Otherwise a
+    small tenant with wide steps would be starved.
 
-    :param ready: what may start, the most urgent first.
-    :param demand: what tenants have and want.
+    :param ready: steps that may start, the most urgent first.
+    :param usage: usage of the pool.
     :param find_weight: gives a tenant's weight.
-    :returns: how many were marked.
+    :returns: number of marked steps.
     """
     waiting: dict[str, Amount] = {}
     for item in ready:
         tenant = item.job.submission.tenant
-        if tenant and item.urgency.standing is not Standing.NO_USE:
-            waiting[tenant] = waiting.get(tenant, NOTHING) + _measure(item)
-    shares = demand.find_shares(waiting, find_weight)
+        if tenant and item.urgency.standing is not Timeliness.NO_USE:
+            waiting[tenant] = waiting.get(tenant, NOTHING) + _get_amount(item)
+    shares = usage.compute_shares(waiting, find_weight)
     if shares is None:
         return 0
     taken = {
-        tenant: demand.measure(
-            demand.elsewhere.get(tenant, NOTHING) + demand.used.get(tenant, NOTHING)
+        tenant: usage.measure(
+            usage.used_elsewhere.get(tenant, NOTHING) + usage.used.get(tenant, NOTHING)
         )
         for tenant in shares
     }
@@ -159,10 +162,10 @@
         if tenant not in shares:
             continue
         item.beyond = taken[tenant] >= shares[tenant]
-        taken[tenant] += demand.measure(_measure(item))
+        taken[tenant] += usage.measure(_get_amount(item))
         marked += item.beyond
     return marked
 
 
-def _measure(item: Ready) -> Amount:
+def _get_amount(item: Ready) -> Amount:
     return measure_task(item.job.submission.steps[item.step]) * len(item.tasks)
--- a/src/onyxgap/jobs/priorities.py
+++ b/src/onyxgap/jobs/priorities.py
@@ -1,8 +1,8 @@
-"""The order in which jobs get room; answers more work than the pool holds.
+"""Deadline-based scheduling order of steps when a pool is overloaded.
 
-Jobs that can still meet their objective go first, by the latest moment at which
-their next step must start. A job that is late anyway takes only what is left:
-serving it first would make the next one late as well.
+Jobs that can still meet their objectives go first, ordered by the latest start of their
+next step. A late job gets only the remaining capacity: running it first would make the
+next job late as well.
 """
 
 import enum
@@ -14,55 +14,58 @@
 from .job import Job
 from .run_times import RunTimes
 
-USE_FACTOR = 3.0
-"""A result is of use to its caller up to this multiple of its objective."""
-PRESSED_S = 2.5
-"""A VM that is asked for serves 2.2 s later; tasks that can wait longer need none."""
-TOLD_S = 0.05
-"""Time until the end of a step is known and stored; a report and a transaction."""
+USEFUL_FACTOR = 3.0
+"""A result is useful to its caller up to this multiple of its objective."""
+SCALE_UP_SLACK_S = 2.5
+"""Steps with more slack don't request VMs: a VM runs tasks 2.2 s after the request."""
+END_REPORT_S = 0.05
+"""Time until the end of a step is known and stored: one report, one transaction."""
 MS = 1000.0
 """Milliseconds in a second."""
 
 
-class Standing(enum.IntEnum):
-    """What a job can still be to its caller; the least goes first."""
+class Timeliness(enum.IntEnum):
+    """Whether a job can still end in time; lower values go first."""
 
     IN_TIME = 0
+    """Can meet its objective."""
     OF_USE = 1
-    """Late, but not yet for nothing."""
+    """Late, but its result is still useful."""
     NO_USE = 2
+    """Expired: its result will be useless."""
 
 
 class Urgency(t.NamedTuple):
-    """Sort key of a step of a job; the least goes first.
+    """Sort key of a step; lower values go first.
 
-    :param standing: what the job can still be to its caller.
+    :param standing: whether the job can still end in time.
     :param priority: priority of the queue, 0 first.
-    :param latest_start: monotonic seconds by which the step must start for that.
+    :param latest_start: monotonic seconds by which the step must start to keep this
+        standing; for an expired job, the latest start that would have been useful.
     """
 
-    standing: Standing
+    standing: Timeliness
     priority: int
     latest_start: float
 
     @property
     def late(self) -> bool:
-        """Whether the objective can no longer be met."""
-        return self.standing is not Standing.IN_TIME
+        """Whether the job can no longer meet its objective."""
+        return self.standing is not Timeliness.IN_TIME
 
 
 class Forecast(t.Protocol):
-    """Foresees what a job can still be, and which of them are worth further VMs."""
+    """Predicts whether jobs end in time and which steps justify more VMs."""
 
     def is_worth_vms(self, urgency: Urgency, now: float) -> bool:
-        """Tell whether a waiting step should have VMs that are not there yet.
+        """Tell whether a waiting step justifies adding VMs to the pool.
 
-        :param urgency: its rating.
+        :param urgency: its urgency.
         :param now: monotonic seconds.
         """
 
     def rate(self, job: Job, step: int, now: float) -> Urgency:
-        """Rate a step that ends by itself and is ready to start.
+        """Rate the urgency of a ready step that is not long-running.
 
         :param job: its job.
         :param step: its number.
@@ -74,62 +77,65 @@
     """Give the monotonic second by which a job should have ended.
 
     :param job: the job.
-    :param factor: multiple of its declared run times that it takes.
+    :param factor: ratio of its actual to its declared run times.
     """
     policy = job.submission.policy
     return job.seen_at + (policy.stretch * factor * job.chain_ms + policy.slo_ms) / MS
 
 
-def get_use_end(job: Job, factor: float = 1.0) -> float:
-    """Give the monotonic second after which a job's result is of no use.
+def get_expiry(job: Job, factor: float = 1.0) -> float:
+    """Give the monotonic second after which a job's result is useless.
 
     :param job: the job.
-    :param factor: multiple of its declared run times that it takes.
+    :param factor: ratio of its actual to its declared run times.
     """
-    return job.seen_at + USE_FACTOR * (get_objective(job, factor) - job.seen_at)
+    return job.seen_at + USEFUL_FACTOR * (get_objective(job, factor) - job.seen_at)
 
 
-def _is_pressed(urgency: Urgency, now: float) -> bool:
-    """Tell whether a step can be in time, but can't wait for VMs that come free."""
-    return not urgency.late and urgency.latest_start - now < PRESSED_S
+def _lacks_slack(urgency: Urgency, now: float) -> bool:
+    """Tell whether a step can be in time, but not if it waits for a VM to be free."""
+    return not urgency.late and urgency.latest_start - now < SCALE_UP_SLACK_S
 
 
 class DeclaredForecast:
-    """Goes by declared run times; a job that is late stays of use."""
+    """Uses declared run times; late jobs never expire."""
 
     def is_worth_vms(self, urgency: Urgency, now: float) -> bool:
-        """Count what can be in time; what is late is served by what is left."""
-        return _is_pressed(urgency, now)
+        """Select steps that can be in time; late ones get the remaining capacity."""
+        return _lacks_slack(urgency, now)
 
     def rate(self, job: Job, step: int, now: float) -> Urgency:
         """Rate a step; see :meth:`Forecast.rate`."""
         latest = get_objective(job) - job.tails_ms[step] / MS
-        standing = Standing.OF_USE if now > latest else Standing.IN_TIME
+        standing = Timeliness.OF_USE if now > latest else Timeliness.IN_TIME
         return Urgency(standing, job.submission.policy.priority, latest)
 
 
 @attrs.define
 class LearnedForecast:
-    """Goes by what tasks took; answers a queue that brings more than can be in time.
+    """Uses measured run times, for pools with more work than can be in time.
 
-    There each job is started as late as it may be, and ends late where its orders wait
-    for the store or its ends are told late. Those that are late go on while they are of
-    use, the others take what is left. A job whose work takes longer than declared has a
-    later objective, too, which is a multiple of its work; that the slowest of its tasks
-    takes longer than the usual one is no reason to start it later.
+    In such a pool every job starts as late as it may, so a start order that waits for
+    the store or an end that is reported late makes it miss its objective; both delays
+    are therefore part of the estimate. Late jobs continue while they are useful,
+    expired ones get the remaining capacity.
 
-    :param run_times: what the shard's tasks took.
+    The objective is a multiple of the job's work. A job that runs longer than declared
+    therefore has a later objective. This uses the median run time of a single task: a
+    wide step that takes longer because of its slowest task must not start later.
+
+    :param run_times: measured run times of the shard's tasks.
     """
 
     run_times: RunTimes
 
     def is_worth_vms(self, urgency: Urgency, now: float) -> bool:
-        """Count what can be in time or of use.
+        """Select steps that are short of slack, and late ones that are still useful.
 
-        Where callers compete, a backlog that asks for no VMs is never worked off while
-        another pool keeps those of its last turn.
+        Where callers compete, a backlog that requests no VMs is never worked off while
+        another pool keeps the VMs of its last burst.
         """
-        return urgency.standing is Standing.OF_USE or _is_pressed(urgency, now)
+        return urgency.standing is Timeliness.OF_USE or _lacks_slack(urgency, now)
 
     def rate(self, job: Job, step: int, now: float) -> Urgency:
         """Rate a step; see :meth:`Forecast.rate`."""
@@ -138,16 +144,16 @@
         factor = self.run_times.get_factor(policy.queue, width)
         steps_left = len(job.submission.steps) - step
         left_s = factor * job.tails_ms[step] / MS
-        left_s += steps_left * (self.run_times.lag_s + TOLD_S)
-        usual = self.run_times.get_factor(policy.queue, 1)
-        use_end = get_use_end(job, usual)
+        left_s += steps_left * (self.run_times.lag_s + END_REPORT_S)
+        median_factor = self.run_times.get_factor(policy.queue, 1)
+        expiry = get_expiry(job, median_factor)
         for standing, end in (
-            (Standing.IN_TIME, get_objective(job, usual)),
-            (Standing.OF_USE, use_end),
+            (Timeliness.IN_TIME, get_objective(job, median_factor)),
+            (Timeliness.OF_USE, expiry),
         ):
             if now <= end - left_s:
                 return Urgency(standing, policy.priority, end - left_s)
-        return Urgency(Standing.NO_USE, policy.priority, use_end - left_s)
+        return Urgency(Timeliness.NO_USE, policy.priority, expiry - left_s)
 
 
 DECLARED = DeclaredForecast()
@@ -156,15 +162,15 @@
 def rate_urgency(
     job: Job, step: int, now: float, forecast: Forecast = DECLARED
 ) -> Urgency:
-    """Rate a step that is ready to start.
+    """Rate the urgency of a step that is ready to start.
 
     :param job: the job.
     :param step: number of the step.
     :param now: monotonic seconds.
-    :param forecast: foresees what the job can still be.
+    :param forecast: predicts whether the job ends in time.
     """
     if job.submission.steps[step].long_running:
-        # each second that a serving task is away is lost for good
+        # a serving task can't make up for the time in which it is down
         priority = job.submission.policy.priority
-        return Urgency(Standing.IN_TIME, priority, -math.inf)
+        return Urgency(Timeliness.IN_TIME, priority, -math.inf)
     return forecast.rate(job, step, now)
--- a/src/onyxgap/jobs/ready.py
+++ b/src/onyxgap/jobs/ready.py
@@ -1,7 +1,7 @@
-"""Tasks that may start, and the order in which they get room.
+"""Steps with tasks that may start, and their scheduling order.
 
-Answers a queue that asks for more than its pool holds, and tenants that send more than
-their share.
+The order matters when a queue needs more capacity than its pool has, or when a tenant
+submits more than its share.
 """
 
 import attrs
@@ -9,19 +9,19 @@
 from .crashes import NO_SUSPICION
 from .job import Job
 from .job import Task
-from .priorities import Standing
+from .priorities import Timeliness
 from .priorities import Urgency
 
 
 @attrs.define(slots=True)
 class Ready:
-    """Tasks of one step that may start.
+    """Waiting tasks of one step whose dependencies are done.
 
     :param urgency: sort key.
     :param job: their job.
     :param step: number of the step.
     :param tasks: the waiting tasks.
-    :param beyond: whether they lie beyond their tenant's share of the pool.
+    :param beyond: whether they are over their tenant's share of the pool.
     """
 
     urgency: Urgency
@@ -30,12 +30,14 @@
     tasks: list[Task]
     beyond: bool = False
 
-    def get_rank(self) -> tuple[bool, Standing, bool, bool, Urgency]:
-        """Give the sort key: jobs beyond their tenants' rates last, suspects first.
+    def get_rank(self) -> tuple[bool, Timeliness, bool, bool, Urgency]:
+        """Give the sort key; lower values are scheduled first.
 
-        Suspects are few, and each needs a worker on which nothing else starts. Late
-        ones would take room from jobs that can still be in time. A job that can be in
-        time goes before a late one, whose tenant has lost most of it already.
+        Jobs over their tenants' rates go last. A job that can be in time goes before a
+        late one even if it is over its share: the late one has lost most of its value
+        to its tenant already. Suspected tasks go before others, since they are few and
+        each needs a worker on which nothing else starts. Late suspected tasks don't:
+        they would take capacity from jobs that can still be in time.
         """
         suspect = any(task.suspicion is not NO_SUSPICION for task in self.tasks)
         return (
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,13 +1,14 @@
-"""What callers get from a pool whose turn needs three times its VMs."""
+"""Overload of a pool by a burst that needs three times its VMs."""
 
 from tests.emulated import load_day
 from tests.emulated import play
 
 
 def test_overload_of_a_pool_is_served_by_the_vms_of_others() -> None:
-    """In time of 802 jobs: 435, and 70 while pools got at most twice their size.
+    """An overloaded pool must be able to grow beyond twice its size.
 
-    Two seeds; in hindsight all of them can be.
+    While pools got at most twice their size, 70 of the 802 jobs of both seeds were in
+    time, and 435 without that limit. With hindsight, all of them can be.
     """
     days = [play(load_day("surge"), seed) for seed in (1, 2)]
     assert [day.breaches for day in days] == [[], []]
