--- a/src/onyxgap/jobs/admission.py
+++ b/src/onyxgap/jobs/admission.py
@@ -15,7 +15,7 @@
 from .job import measure_tails
 from .load import measure_share
 from .messages import Submission
-from .priorities import MS
+from .priorities import MS_PER_S
 from .priorities import USEFUL_FACTOR
 from .priorities import Timeliness
 from .ready import Ready
@@ -134,7 +134,7 @@
             continue
         steps += 1
         factor = run_times.get_factor(item.job.submission.policy.queue, 1)
-        share_s = factor * measure_share(step, capacity) * step.estimate_ms / MS
+        share_s = factor * measure_share(step, capacity) * step.estimate_ms / MS_PER_S
         key = (item.urgency.standing, item.beyond)
         work[key] = work.get(key, 0.0) + waiting * share_s
         if item.beyond:
@@ -160,7 +160,7 @@
     """Why a job is rejected, and when its caller should retry.
 
     :param line: estimated queueing delay of the job.
-    :param use_s: longest wait in seconds after which its result is still useful.
+    :param use_s: longest wait in seconds that leaves its result useful.
     :param retry_after_s: seconds after which the caller should retry.
     """
 
@@ -194,10 +194,10 @@
         """
         if submission.times or any(step.long_running for step in submission.steps):
             return None
-        objective_s, chain_s = _get_objective(submission)
+        objective_s, critical_path_s = _get_objective(submission)
         delay = outlook.get_delay(submission.tenant)
-        use_s = USEFUL_FACTOR * objective_s - chain_s
-        if delay.in_time_s <= objective_s - chain_s or delay.of_use_s <= use_s:
+        use_s = USEFUL_FACTOR * objective_s - critical_path_s
+        if delay.in_time_s <= objective_s - critical_path_s or delay.of_use_s <= use_s:
             return None
         shard = submission.policy.service
         last_s, at = self._retry_backlogs.get(shard, (0.0, now))
@@ -210,7 +210,7 @@
 
 
 def _get_objective(submission: Submission) -> tuple[float, float]:
-    """Give objective and longest chain of declared run times, in seconds."""
-    chain_s = max(measure_tails(submission.steps), default=0.0) / MS
+    """Give objective and critical path of the declared run times, in seconds."""
+    critical_path_s = max(measure_tails(submission.steps), default=0.0) / MS_PER_S
     policy = submission.policy
-    return policy.stretch * chain_s + policy.slo_ms / MS, chain_s
+    return policy.stretch * critical_path_s + policy.slo_ms / MS_PER_S, critical_path_s
--- a/src/onyxgap/jobs/fair_shares.py
+++ b/src/onyxgap/jobs/fair_shares.py
@@ -14,7 +14,7 @@
 from .amounts import NOTHING
 from .amounts import Amount
 from .amounts import measure_task
-from .priorities import MS
+from .priorities import MS_PER_S
 from .priorities import Timeliness
 from .ready import Ready
 from .shares import measure_fraction
@@ -120,7 +120,7 @@
         step = item.job.submission.steps[item.step]
         if item.urgency.late or step.long_running:
             continue
-        run_s = step.estimate_ms / MS
+        run_s = step.estimate_ms / MS_PER_S
         work_s += measure_fraction(_get_amount(item), usage.capacity) * run_s
         if work_s > max(0.0, item.urgency.latest_start - now) + free * run_s:
             return False
--- a/src/onyxgap/jobs/priorities.py
+++ b/src/onyxgap/jobs/priorities.py
@@ -20,8 +20,7 @@
 """Steps with more slack don't request VMs: a VM runs tasks 2.2 s after the request."""
 END_REPORT_S = 0.05
 """Time until the end of a step is known and stored: one report, one transaction."""
-MS = 1000.0
-"""Milliseconds in a second."""
+MS_PER_S = 1000.0
 
 
 class Timeliness(enum.IntEnum):
@@ -80,7 +79,10 @@
     :param factor: ratio of its actual to its declared run times.
     """
     policy = job.submission.policy
-    return job.seen_at + (policy.stretch * factor * job.chain_ms + policy.slo_ms) / MS
+    return (
+        job.seen_at
+        + (policy.stretch * factor * job.chain_ms + policy.slo_ms) / MS_PER_S
+    )
 
 
 def get_expiry(job: Job, factor: float = 1.0) -> float:
@@ -106,7 +108,7 @@
 
     def rate(self, job: Job, step: int, now: float) -> Urgency:
         """Rate a step; see :meth:`Forecast.rate`."""
-        latest = get_objective(job) - job.tails_ms[step] / MS
+        latest = get_objective(job) - job.tails_ms[step] / MS_PER_S
         standing = Timeliness.OF_USE if now > latest else Timeliness.IN_TIME
         return Urgency(standing, job.submission.policy.priority, latest)
 
@@ -143,7 +145,7 @@
         width = job.submission.steps[step].count
         factor = self.run_times.get_factor(policy.queue, width)
         steps_left = len(job.submission.steps) - step
-        left_s = factor * job.tails_ms[step] / MS
+        left_s = factor * job.tails_ms[step] / MS_PER_S
         left_s += steps_left * (self.run_times.lag_s + END_REPORT_S)
         median_factor = self.run_times.get_factor(policy.queue, 1)
         expiry = get_expiry(job, median_factor)
