--- a/src/onyxgap/jobs/crashes.py
+++ b/src/onyxgap/jobs/crashes.py
@@ -1,11 +1,12 @@
-"""Finds tasks that crash their workers; answers runs that are lost with a worker.
-
-A worker crashes with a dozen runs of several jobs on it, and nothing reports which of
-them is the cause. A run that a report still listed a while after its start is not: such
-tasks crash their workers within milliseconds. The others are started again apart, so
-that a second crash has one suspect, and a task that stands alone in two crashes is
-given up. Unbounded, one such task crashes a worker with each start, and the runs beside
-it are lost with them.
+"""Detects tasks that crash their workers.
+
+A worker has about a dozen runs of several jobs when it crashes, and nothing reports
+which of them is the cause. Such tasks crash their workers within milliseconds of their
+start, so a run that a report still listed some time after its start is not the cause.
+The other tasks are started again on separate workers, so that the next crash has only
+one suspect. A task that was the only suspect in two crashes is given up, with its job.
+Without a limit, such a task crashes a worker at each start, and the other runs on that
+worker are lost too.
 """
 
 import collections
@@ -15,73 +16,75 @@
 import attrs
 
 PROOF_MS = 100.0
-"""Time on a worker after which a start is known not to crash it."""
+"""Time on a worker after which the start of a run is known not to have crashed it."""
 SETTLED_MS = 300.0
-"""Time on a worker after which a run clears its task of earlier crashes. A task that is
-alone keeps its worker that long."""
-YOUNG_BLAME = 2
-"""For the only job that had started something when the worker crashed."""
-LATE_BLAME = 1
-"""For the only job that was there at all: tasks may crash a worker later than at their
-start, but workers with the tasks of one job also crash by themselves."""
-MOST_BLAME = 4
-"""Two crashes with nobody else to blame. One is not enough: workers crash by themselves
-just after a start, too, but seldom twice under one task."""
-MOST_YOUNG_LOSSES = 4
-"""Runs lost just after their start after which :data:`YOUNG_BLAME` is enough: where
-confirmations get lost, too, a task would else crash more workers. Runs that had proved
-themselves don't count: a serving task may lose several workers to others and then one
-that crashed by itself."""
-ALONE_LOSSES = 3
-"""Lost runs after which a task gets a worker for itself: what crashes its worker late
-is then found by the seventh start."""
-
-
-DOUBT_S = 12.0
-"""Time for which crashes of workers without a task speak for it: a task that crashes
-its workers is given up well within it."""
-CRASHES_PER_DOUBT = 2
-"""Crashes without a task for each further one that is asked for."""
-MOST_DOUBT = 2
-"""Bounds how many workers a task crashes while others crash by themselves."""
+"""Time on a worker after which a run clears its task of earlier crashes. A fully
+isolated task has its worker to itself for that time."""
+START_CRASH_BLAME = 2
+"""Blame if only one job had runs that had just started when the worker crashed."""
+LATE_CRASH_BLAME = 1
+"""Blame if no run had just started and only one job can be the cause. Such a crash is
+weaker evidence. Tasks may crash a worker some time after their start, but workers with
+the tasks of a single job also crash by themselves."""
+BLAME_LIMIT = 4
+"""Blame of two crashes with a single suspect. One crash is not enough: workers may also
+crash by themselves just after a start, but seldom twice under the same task."""
+YOUNG_LOSSES_LIMIT = 4
+"""Number of runs lost just after their start for which :data:`START_CRASH_BLAME` is
+enough. Otherwise a task would crash more workers where confirmations of starts get
+lost too. Runs that survived their start don't count: a serving task may lose several
+workers to other tasks and then one that crashed by itself."""
+FULL_ISOLATION_LOSSES = 3
+"""Lost runs after which a task is fully isolated. A task that crashes its workers late
+is then detected by its seventh start."""
+
+
+CRASH_RETENTION_S = 12.0
+"""Time for which worker crashes without a task count in its favour. A task that crashes
+its workers is given up well within this time."""
+UNRELATED_CRASHES_PER_EXTRA = 2
+"""Worker crashes without a task for each extra crash that is required to give it up."""
+MAX_EXTRA_CRASHES = 2
+"""Bounds how many workers a task crashes while other workers crash by themselves."""
 
 
 class Care(enum.Enum):
-    """What a task may share its worker with."""
+    """Which runs a suspected task may share its worker with."""
 
     NONE = "none"
     APART = "apart"
-    """Nothing of another job that has not proved itself there."""
+    """All runs of other jobs there must have survived :data:`PROOF_MS`."""
     ALONE = "alone"
-    """Nothing of another job that has not settled there."""
+    """All runs of other jobs there must have survived :data:`SETTLED_MS`."""
 
 
 @attrs.frozen(slots=True)
 class LostRun:
     """A run that was lost with its worker.
 
-    :param job_id: its job.
-    :param confirmed: whether the worker is known to have started it.
-    :param listed_ms: how long after its start a report last listed it.
+    :param job_id: job of the run.
+    :param confirmed: whether the worker is known to have started the run.
+    :param survived_ms: time after its start for which the run is known not to have
+        crashed the worker.
     """
 
     job_id: str
     confirmed: bool
-    listed_ms: float
+    survived_ms: float
 
     @property
     def young(self) -> bool:
-        """Whether its start may have crashed the worker."""
-        return self.listed_ms < PROOF_MS
+        """Whether the start of the run may have crashed the worker."""
+        return self.survived_ms < PROOF_MS
 
 
 @attrs.frozen(slots=True)
 class Suspicion:
-    """What is known of a task from workers that crashed under it.
+    """A task's runs that were lost with their workers.
 
-    :param losses: runs that were lost with their workers.
-    :param young_losses: those of them that were lost just after their start.
-    :param blame: sum of the blame for them; see :func:`weigh_blame`.
+    :param losses: number of lost runs.
+    :param young_losses: number of them that may have crashed the worker by their start.
+    :param blame: total blame for the lost runs; see :func:`weigh_blame`.
     """
 
     losses: int = 0
@@ -89,10 +92,10 @@
     blame: int = 0
 
     def add_loss(self, young: bool, blame: int = 0) -> t.Self:
-        """Add a lost run.
+        """Return a copy with one more lost run.
 
-        :param young: whether its start may have crashed the worker.
-        :param blame: the blame for it.
+        :param young: whether the start of the run may have crashed the worker.
+        :param blame: blame for the crash.
         """
         return attrs.evolve(
             self,
@@ -103,34 +106,35 @@
 
     @property
     def care(self) -> Care:
-        """What the task may share its next worker with."""
-        if self.losses >= ALONE_LOSSES:
+        """Isolation that the task needs on its next worker."""
+        if self.losses >= FULL_ISOLATION_LOSSES:
             return Care.ALONE
         return Care.APART if self.losses else Care.NONE
 
-    def is_proved(self, doubt: int = 0) -> bool:
-        """Tell whether the task is to be given up as one that crashes its workers.
+    def is_proved(self, extra_crashes: int = 0) -> bool:
+        """Return whether the task is considered the cause of its workers' crashes.
 
-        :param doubt: crashes more that are asked for; see :meth:`CrashLog.get_doubt`.
+        :param extra_crashes: crashes required in addition; see
+            :meth:`CrashLog.get_doubt`.
         """
-        if self.blame >= MOST_BLAME + doubt * YOUNG_BLAME:
+        if self.blame >= BLAME_LIMIT + extra_crashes * START_CRASH_BLAME:
             return True
         return (
-            self.young_losses >= MOST_YOUNG_LOSSES + doubt
-            and self.blame >= YOUNG_BLAME * (1 + doubt)
+            self.young_losses >= YOUNG_LOSSES_LIMIT + extra_crashes
+            and self.blame >= START_CRASH_BLAME * (1 + extra_crashes)
         )
 
 
 NO_SUSPICION = Suspicion()
-"""Of a task under which no worker has crashed."""
+"""History of a task that has lost no runs since it was last cleared."""
 
 
 @attrs.define
 class CrashLog:
-    """Recent crashes of a shard's workers, with the jobs whose runs were there.
+    """Recent crashes of a shard's workers, with the jobs that had runs on them.
 
-    Workers that crash by themselves one after the other hit the same task twice by
-    chance; it then takes more crashes to tell that the task is the cause.
+    When several workers crash by themselves, the same task may be on two of them by
+    chance. More crashes are then required before the task is considered the cause.
     """
 
     _crashes: collections.deque[tuple[float, frozenset[str]]] = attrs.field(
@@ -138,38 +142,40 @@
     )
 
     def note(self, job_ids: t.Iterable[str], now: float) -> None:
-        """Note a crash.
+        """Record the crash of a worker.
 
         :param job_ids: jobs that had runs on the worker.
         :param now: monotonic seconds.
         """
-        while self._crashes and now - self._crashes[0][0] > DOUBT_S:
+        while self._crashes and now - self._crashes[0][0] > CRASH_RETENTION_S:
             self._crashes.popleft()
         self._crashes.append((now, frozenset(job_ids)))
 
     def get_doubt(self, job_id: str) -> int:
-        """Give how many crashes more are asked for before a job is given up.
+        """Return how many extra crashes are required before a job is given up.
 
         :param job_id: the job.
         """
-        others = sum(job_id not in job_ids for _, job_ids in self._crashes)
-        return min(others // CRASHES_PER_DOUBT, MOST_DOUBT)
+        unrelated = sum(job_id not in job_ids for _, job_ids in self._crashes)
+        return min(unrelated // UNRELATED_CRASHES_PER_EXTRA, MAX_EXTRA_CRASHES)
 
 
 def weigh_blame(runs: t.Sequence[LostRun]) -> list[int]:
-    """Weigh for each run of a crashed worker how surely its task is the cause.
+    """Assign blame for the crash of a worker to the runs on it.
 
-    Blame falls on the job of a run, since a job is given up whole: on the only one that
-    had started something there, or, where all runs had proved themselves, on the only
-    one that was there. A start without an answer may never have reached the worker; it
-    keeps others from being blamed, but gets no blame itself.
+    Suspects are the runs not known to have survived :data:`PROOF_MS`.
+    If there are none, suspects are those not known to have survived
+    :data:`SETTLED_MS`. They are blamed only if all of them belong to one job, each
+    with the full amount, since a job is given up as a whole. An unconfirmed run may
+    never have reached the worker: as a suspect it keeps other jobs from being blamed,
+    but it gets no blame itself.
 
-    :param runs: the runs whose orders were sent.
-    :returns: the blame, in the order of the runs.
+    :param runs: the runs on the worker whose start orders were sent.
+    :returns: the blame for each run, in the order of the runs.
     """
     young = [run for run in runs if run.young]
-    suspects = young or [run for run in runs if run.listed_ms < SETTLED_MS]
+    suspects = young or [run for run in runs if run.survived_ms < SETTLED_MS]
     if len({run.job_id for run in suspects}) != 1:
         return [0] * len(runs)
-    weight = YOUNG_BLAME if young else LATE_BLAME
+    weight = START_CRASH_BLAME if young else LATE_CRASH_BLAME
     return [weight if run in suspects and run.confirmed else 0 for run in runs]
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -1,21 +1,22 @@
-"""A task that crashes each worker that starts it is not started without end.
+"""Limits on the starts of tasks that crash each worker that starts them.
 
-What users saw: two jobs never ended, their first tasks were started over two hundred
-times, and of the other jobs on the same pool half were late or lost; when VMs moved in
-from other pools, these lost theirs, too.
+Guards against a task that is started without limit. Two jobs did not end, and their
+first tasks were started over two hundred times. Half of the other jobs on the same pool
+were late or lost. When VMs were moved in from other pools, those pools lost jobs too.
 
-Order of events: an owner starts such a task beside a dozen others on one worker; 10 ms
-later the worker crashes. The list of VMs shows it as down, its runs are released, and
-all of them are placed again, mostly together on the next worker, which crashes, too.
+How it comes about: an owner starts such a task beside a dozen others on one worker,
+which crashes 10 ms later. The VM list shows the worker as down, and its runs are
+released. All of them are placed again, mostly together on the next worker, which
+crashes too.
 
-Cause: only ends that a worker reports counted as attempts. A run that ended with its
-worker was released as if it had never been started, so that nothing bounded its starts
-and nothing told it from the tasks beside it.
+Cause: only ends that a worker reported counted as attempts. A run that was lost with
+its worker was released as if it had never been started. Nothing limited its starts, and
+nothing told it from the tasks beside it.
 
-Evidence, from the lines on lost runs of the day below with seed 1, before the repair:
-161 workers were lost, each with such a task on it; none of its 216 runs was ever listed
-by a report later than its start, and all had been confirmed; 2,567 runs of other tasks
-went with them. One owner, under one epoch, gave all the orders.
+The log lines on lost runs in the day below, with seed 1 and before the fix, show: 161
+workers were lost, each with such a task on it. All its 216 runs had been confirmed, and
+no report listed one later than its start. 2,567 runs of other tasks were lost with
+them. All orders came from one owner in one epoch.
 """
 
 import pytest
@@ -30,8 +31,9 @@
     assert result.breaches == []
 
 
-# With seed 49 three workers crashed under a serving task by the doing of others, and
-# one by itself 40 ms after its start; a first repair took all four for its own doing.
+# With seed 49 a serving task loses three workers that other tasks crash, and one that
+# crashes by itself 40 ms after the start of the task. A first fix blamed the task for
+# all four crashes.
 @pytest.mark.parametrize("seed", [*range(11, 17), 49])
 def test_crashing_tasks_beside_random_faults_break_no_rule(seed: int) -> None:
     result = play(load_day("crashing"), seed, faults=2 + seed % 5)
