--- a/src/onyxgap/jobs/candidates.py
+++ b/src/onyxgap/jobs/candidates.py
@@ -1,8 +1,8 @@
-"""The workers that one plan may still use, the best for each step first.
+"""Heaps of candidate workers for one scheduling pass, with the best worker on top.
 
-Answers queues that are longer than a pool has room for: a plan looks at each worker
-once a step in place of once a task, and not at all for a step that asks for at least
-as much as one that found no room before.
+They keep a pass cheap when the queue is longer than a pool has capacity for. A pass
+checks each worker once a step instead of once a task. It checks none for a step that
+needs at least as much as an earlier step that could not be placed.
 """
 
 import heapq
@@ -24,19 +24,21 @@
 
 @attrs.define
 class Candidates:
-    """Workers for the tasks of one step; equal to choosing among all for each task.
+    """Candidate workers for the tasks of one step.
 
-    Only what :meth:`choose` returned may have been given more to do between two calls.
+    The choices are the same as those of :func:`choose_worker` for each task.
+    Between two calls of :meth:`choose`, tasks may have been placed only on the worker
+    that it returned last.
 
-    :param records: the workers that may be used.
+    :param records: workers that may be used.
     :param step: the step.
-    :param group: job, occurrence and number of the step.
+    :param step_key: job, occurrence and number of the step.
     :param now: monotonic seconds.
     """
 
     records: t.Sequence[WorkerRecord]
     step: Step
-    group: Group
+    step_key: Group
     now: float
     _heap: list[tuple[Rank, WorkerRecord]] | None = None
     _last: WorkerRecord | None = None
@@ -44,95 +46,100 @@
     def choose(
         self, avoid: t.Collection[str] = (), care: Care = Care.NONE
     ) -> WorkerRecord | None:
-        """Choose the best worker, or ``None`` when none has room.
+        """Choose the best worker for a task of the step.
 
-        :param avoid: workers on which the task failed before.
-        :param care: what it may share its worker with.
+        :param avoid: ids of the workers on which the task has failed.
+        :param care: isolation that the task needs.
+        :returns: the worker, or ``None`` if no worker is eligible.
         """
         if avoid or care is not Care.NONE:
-            # rare, and its rank differs from that of the other tasks
+            # rare, and the workers rank differently for such a task
             self._heap = None
             return choose_worker(
-                self.records, self.step, self.group, self.now, avoid, care
+                self.records, self.step, self.step_key, self.now, avoid, care
             )
         if self._heap is None:
             self._heap = [
                 (rank_worker(record, self.step, ()), record)
                 for record in self.records
-                if is_eligible(record, self.step, self.group, self.now)
+                if is_eligible(record, self.step, self.step_key, self.now)
             ]
             heapq.heapify(self._heap)
         elif self._last is not None:
-            self._rank_again(self._last)
+            self._update_rank(self._last)
         self._last = self._heap[0][1] if self._heap else None
         return self._last
 
-    def _rank_again(self, record: WorkerRecord) -> None:
+    def _update_rank(self, record: WorkerRecord) -> None:
         assert self._heap is not None
-        if is_eligible(record, self.step, self.group, self.now):
-            rank = rank_worker(record, self.step, ())
-            heapq.heapreplace(self._heap, (rank, record))
+        if is_eligible(record, self.step, self.step_key, self.now):
+            updated = rank_worker(record, self.step, ())
+            heapq.heapreplace(self._heap, (updated, record))
         else:
             heapq.heappop(self._heap)
 
 
 @attrs.define
 class PlanRoom:
-    """The room that is left in the course of one plan.
+    """Free capacity that is left during one scheduling pass.
 
-    Room only shrinks while a plan is made, so that a step which found none speaks for
-    all later ones that ask for as much.
+    Free capacity only shrinks during a pass. If a step could not be placed, no later
+    step that needs at least as much can be placed either.
 
-    :param records: workers that are open.
+    :param records: workers that accept new tasks.
     :param now: monotonic seconds.
     """
 
     records: t.Sequence[WorkerRecord]
     now: float
-    _refused: list[Step] = attrs.field(factory=list)
+    _unplaceable: list[Step] = attrs.field(factory=list)
 
     def rank(
         self,
         step: Step,
-        group: Group,
+        step_key: Group,
         allowed: t.Collection[str] | None = None,
     ) -> Candidates:
-        """Give the workers for the tasks of a step.
+        """Return the candidate workers for the tasks of a step.
 
         :param step: the step.
-        :param group: job, occurrence and number of the step.
-        :param allowed: ids of the workers that it may use; ``None`` for all.
+        :param step_key: job, occurrence and number of the step.
+        :param allowed: ids of the workers that the step may use; ``None`` for all.
         """
         records = self.records
         if allowed is not None:
             records = [item for item in records if item.entry.worker_id in allowed]
-        return Candidates(records, step, group, self.now)
+        return Candidates(records, step, step_key, self.now)
 
     def measure_free(self) -> Amount:
-        """Measure what is free on all workers together."""
+        """Return the total free capacity of all workers."""
         free = NOTHING
         for record in self.records:
             entry = record.entry
-            offered = Amount(entry.cpu, entry.memory_mb, entry.accelerators)
+            capacity = Amount(entry.cpu, entry.memory_mb, entry.accelerators)
             used = Amount(record.cpu_used, record.memory_used, record.accelerators_used)
-            free += (offered - used).get_largest(NOTHING)
+            free += (capacity - used).get_largest(NOTHING)
         return free
 
     def note_refused(self, step: Step) -> None:
-        """Remember that no worker has room for a step that any worker may run."""
+        """Record that no worker has capacity for a step.
+
+        Ignores steps with placement constraints, which may not be placed for other
+        reasons.
+        """
         if not step.requires and not step.anti_affinity:
-            self._refused.append(step)
+            self._unplaceable.append(step)
 
     def is_refused(self, step: Step) -> bool:
-        """Tell whether a step asks for as much as one that found no room."""
-        return any(asks_as_much(step, refused) for refused in self._refused)
+        """Return whether a step needs at least as much as one that was not placed."""
+        return any(needs_as_much(step, other) for other in self._unplaceable)
 
 
-def asks_as_much(step: Step, other: Step) -> bool:
-    """Tell whether a step's tasks ask for at least as much of everything.
+def needs_as_much(step: Step, other: Step) -> bool:
+    """Return whether the tasks of a step need at least as much of each resource.
 
     :param step: the step.
-    :param other: the step that it is compared with.
+    :param other: the step to compare with.
     """
     cpu, other_cpu = (0 if item.fills else item.cpu for item in (step, other))
     return (
--- a/src/onyxgap/jobs/holds.py
+++ b/src/onyxgap/jobs/holds.py
@@ -1,44 +1,48 @@
-"""How long a worker may wait before it answers; answers orders that get lost.
+"""Timing of hold requests, the long polls that renew the leases of a worker's runs.
 
-A worker answers a hold at the first end, or after the wait. A lost hold hides its
-ends for the wait and a margin, while nothing new is placed there. An owner that cannot
-keep up with the reports pauses between them.
+A worker answers a hold request when a run ends, or after the wait at the latest. If the
+request is lost, the owner learns of no ended runs for the wait and a margin, and places
+no new tasks on the worker. An owner that cannot keep up with the reports pauses between
+the requests.
 """
 
 from .placing import WorkerRecord
 
 IDLE_WAIT_S = 1.0
-"""For a worker without runs that end by themselves: each look is paid for."""
+"""Wait for a worker with no runs but long-running ones: each request is paid for."""
 BUSY_WAIT_S = 0.3
-"""For a worker with such runs: ends answer most of its holds before."""
-LEAST_LAG_S = 0.02
-"""Lateness below which a process keeps up: some turns of the event loop."""
-LAG_FACTOR = 2.0
-"""Pause for each second of lateness."""
+"""Wait for a worker with runs that end by themselves. Such an end answers most of the
+requests earlier."""
+MIN_LAG_S = 0.02
+"""Lag below which a process keeps up: a few iterations of the event loop."""
+PAUSE_PER_LAG = 2.0
+"""Seconds of pause for each second of event loop lag."""
 MOST_PAUSE_S = 0.3
-"""As long as a busy worker may wait for an end; leases last 5 s."""
+"""As long as :data:`BUSY_WAIT_S`; leases last 5 s."""
 
 
 def choose_hold_pause(lag_s: float) -> float:
-    """Choose the pause between a worker's report and its next hold.
+    """Choose the pause between a worker's report and the next hold request.
 
-    Without one, a worker is held again at each end. An owner that cannot keep up then
-    reads reports of one end each, seconds late; with a pause each brings more.
+    Without a pause, each ended run causes a report of its own. An owner that cannot
+    keep up then processes such reports seconds late. With a pause, each report brings
+    several ended runs.
 
-    :param lag_s: how late the process is.
+    :param lag_s: event loop lag of the process, in seconds.
     :returns: seconds; 0 for a process that keeps up.
     """
-    if lag_s < LEAST_LAG_S:
+    if lag_s < MIN_LAG_S:
         return 0.0
-    return min(lag_s * LAG_FACTOR, MOST_PAUSE_S)
+    return min(lag_s * PAUSE_PER_LAG, MOST_PAUSE_S)
 
 
 def choose_hold_wait(record: WorkerRecord) -> float:
-    """Choose how long a worker may wait for an end before it answers.
+    """Choose how long a worker may wait for a run to end before it answers.
 
     :param record: the worker.
-    :returns: seconds; 0 for one whose lists are not known at the moment.
+    :returns: seconds; 0 for a worker whose runs are not known at present, so that it
+        reports them at once.
     """
     if not record.held or record.failing_since is not None:
         return 0.0
-    return BUSY_WAIT_S if record.ending else IDLE_WAIT_S
+    return BUSY_WAIT_S if record.finite_runs else IDLE_WAIT_S
--- a/src/onyxgap/jobs/placing.py
+++ b/src/onyxgap/jobs/placing.py
@@ -1,8 +1,9 @@
-"""Chooses a worker for a task; answers a load of tasks that compete for room.
+"""Chooses a worker for a task: bin packing under resource and placement constraints.
 
-Tasks are packed: a worker that already runs something is taken before an idle
-one, so that whole VMs come free for other pools. Serving tasks with a target for
-their response times are the exception, they suffer from what runs beside them.
+Tasks are packed: a worker that already runs tasks is preferred to an idle one, so that
+whole VMs become free for other pools. Serving tasks with a target for their response
+times are spread instead, since they suffer from the load of tasks beside them. So are
+tasks that only fill free capacity and tasks that are suspected of crashing workers.
 """
 
 import math
@@ -19,7 +20,7 @@
 from .workers import WorkerClock
 
 Group = tuple[str, int, int]
-"""Job, occurrence and number of a step."""
+"""Step key: job id, number of the occurrence and number of the step."""
 Rank = tuple[bool, bool, int, bool, float, str]
 """Sort key of a worker for a task, unique by its last item; see :func:`rank_worker`."""
 
@@ -28,34 +29,36 @@
 class WorkerRecord:
     """What the owner of a shard knows of a worker.
 
-    :param entry: its newest registration.
-    :param registered: whether the registration still stands.
-    :param clock: its clock, or ``None`` before the first report.
-    :param held: whether it answered a hold under the owner's epoch.
-    :param lease_ms: latest end of a lease that was sent, on its clock.
-    :param failing_since: monotonic seconds of the first call that failed since
-        the last answer, or ``None``.
-    :param cpu_used: thousandths of a core of the runs that may be there.
-    :param memory_used: MB of them.
-    :param accelerators_used: accelerators of them.
-    :param ending: how many of these runs end by themselves.
-    :param present: number of runs that may be there, by step of a job.
-    :param unproved: tasks that may yet turn out to crash it at their start.
-    :param unsettled: tasks that may yet turn out to crash it at all.
-    :param isolated: tasks beside which nothing of another job is started.
-    :param seen: sequence of the newest end that was taken in.
-    :param acknowledged: sequence of the newest end that is stored.
-    :param findings: times in a row that it was found slow.
-    :param leaving: tasks to be moved, since the worker is slow or stands still.
-    :param strikes: first failures of tasks there since the last success.
-    :param blocked_until: monotonic seconds before which nothing is placed there.
-    :param room_until: monotonic seconds until which its capacity may be relied on.
-    :param cordoned: whether it is to be emptied.
+    :param entry: newest registration of the worker.
+    :param registered: whether the registration is still in force.
+    :param clock: estimate of the worker's clock, or ``None`` before the first reading.
+    :param held: whether the worker has answered a hold request of the owner's epoch.
+    :param lease_ms: latest lease deadline that was sent, on the worker's clock.
+    :param failing_since: monotonic seconds of the first failed call since the last
+        answer, or ``None``.
+    :param cpu_used: thousandths of a core of the runs that may be on the worker.
+    :param memory_used: MB of these runs.
+    :param accelerators_used: number of accelerators of these runs.
+    :param finite_runs: number of these runs that are not of long-running steps.
+    :param present: number of these runs by step key.
+    :param unproved: tasks that may still crash the worker by their start.
+    :param unsettled: tasks that may still be the cause of a crash of the worker.
+    :param isolated: tasks beside which no task of another job is started.
+    :param seen: sequence number of the newest ended run that was processed.
+    :param acknowledged: sequence number of the newest ended run that is stored.
+    :param findings: number of times in a row that the worker was found slow.
+    :param leaving: tasks to move, since the worker is slow or stalled.
+    :param strikes: first-attempt failures of tasks since the last success.
+    :param blocked_until: monotonic seconds before which no task is placed there.
+    :param room_until: monotonic seconds until which the capacity told in the
+        registration may be relied on.
+    :param cordoned: whether the worker is to be drained.
     :param due: whether its VM is due for maintenance.
-    :param reserved: whether its room is kept for a serving task in this plan.
-    :param heard_ms: latest reading of its clock that it told in any answer.
-    :param gone: whether this life of the worker is known to be over.
-    :param born: Unix milliseconds of its start, 0 until it was told.
+    :param reserved: whether its free capacity is kept for a serving or a suspected
+        task in this scheduling pass.
+    :param heard_ms: latest reading of the worker's clock in any of its answers.
+    :param gone: whether this incarnation of the worker is known to have ended.
+    :param born: Unix milliseconds of the start of the worker, 0 if not known.
     """
 
     entry: WorkerEntry
@@ -67,7 +70,7 @@
     cpu_used: int = 0
     memory_used: int = 0
     accelerators_used: int = 0
-    ending: int = 0
+    finite_runs: int = 0
     present: dict[Group, int] = attrs.field(factory=dict)
     unproved: set[TaskId] = attrs.field(factory=set)
     unsettled: set[TaskId] = attrs.field(factory=set)
@@ -87,7 +90,7 @@
     born: int = 0
 
     def is_open(self, now: float) -> bool:
-        """Tell whether new tasks may be placed there at all."""
+        """Return whether new tasks may be placed on the worker at all."""
         return (
             self.held
             and self.registered
@@ -100,7 +103,7 @@
         )
 
     def has_room(self, step: Step) -> bool:
-        """Tell whether a task of a step fits beside what is there."""
+        """Return whether the free capacity is enough for a task of a step."""
         entry = self.entry
         cpu = 0 if step.fills else step.cpu
         return (
@@ -109,33 +112,33 @@
             and self.accelerators_used + step.accelerators <= entry.accelerators
         )
 
-    def reserve(self, step: Step, group: Group) -> None:
-        """Count a run as present.
+    def reserve(self, step: Step, step_key: Group) -> None:
+        """Reserve the resources of a run.
 
-        :param step: its step.
-        :param group: job, occurrence and number of the step.
+        :param step: step of the run.
+        :param step_key: job, occurrence and number of the step.
         """
         self.cpu_used += 0 if step.fills else step.cpu
         self.memory_used += step.memory_mb
         self.accelerators_used += step.accelerators
-        self.ending += not step.long_running
-        self.present[group] = self.present.get(group, 0) + 1
+        self.finite_runs += not step.long_running
+        self.present[step_key] = self.present.get(step_key, 0) + 1
 
-    def free(self, step: Step, group: Group) -> None:
-        """Count a run as gone; the reverse of :meth:`reserve`."""
+    def free(self, step: Step, step_key: Group) -> None:
+        """Free the resources of a run; the reverse of :meth:`reserve`."""
         self.cpu_used -= 0 if step.fills else step.cpu
         self.memory_used -= step.memory_mb
         self.accelerators_used -= step.accelerators
-        self.ending -= not step.long_running
-        self.present[group] -= 1
-        if not self.present[group]:
-            del self.present[group]
+        self.finite_runs -= not step.long_running
+        self.present[step_key] -= 1
+        if not self.present[step_key]:
+            del self.present[step_key]
 
     def note_start(self, task: TaskId, care: Care) -> None:
-        """Note a run that has yet to prove that it does not crash the worker.
+        """Record the start of a run, which may crash the worker.
 
         :param task: the task.
-        :param care: what it may share the worker with.
+        :param care: isolation that the task needs.
         """
         self.unproved.add(task)
         self.unsettled.add(task)
@@ -143,22 +146,22 @@
             self.isolated.add(task)
 
     def prove(self, task: TaskId, care: Care) -> None:
-        """Note that a run did not crash the worker at its start."""
+        """Record that the start of a run did not crash the worker."""
         self.unproved.discard(task)
         if care is not Care.ALONE:
             self.isolated.discard(task)
 
     def settle(self, task: TaskId) -> None:
-        """Note that a run is gone, or no cause of a crash any more."""
+        """Record that a run has ended or can no longer be the cause of a crash."""
         self.unproved.discard(task)
         self.unsettled.discard(task)
         self.isolated.discard(task)
 
-    def admits(self, job_id: str, care: Care) -> bool:
-        """Tell whether a task may be started beside what is there.
+    def meets_isolation(self, job_id: str, care: Care) -> bool:
+        """Return whether a task may share the worker with the runs that are there.
 
-        :param job_id: its job.
-        :param care: what it may share its worker with.
+        :param job_id: job of the task.
+        :param care: isolation that the task needs.
         """
         if any(task.job_id != job_id for task in self.isolated):
             return False
@@ -169,40 +172,44 @@
         return True
 
     def count_present(self) -> int:
-        """Count the runs that may be there."""
+        """Return the number of runs that may be on the worker."""
         return sum(self.present.values())
 
     def get_rack(self) -> str:
-        """Give the label of the rack, the last of the labels."""
+        """Return the rack label, which is the last label, or an empty string."""
         return self.entry.labels[-1] if self.entry.labels else ""
 
 
 def is_eligible(
-    worker: WorkerRecord, step: Step, group: Group, now: float, care: Care = Care.NONE
+    worker: WorkerRecord,
+    step: Step,
+    step_key: Group,
+    now: float,
+    care: Care = Care.NONE,
 ) -> bool:
-    """Tell whether a task may be placed on a worker now.
+    """Return whether a task may be placed on a worker now.
 
     :param worker: the worker.
-    :param step: the task's step.
-    :param group: job, occurrence and number of the step.
+    :param step: step of the task.
+    :param step_key: job, occurrence and number of the step.
     :param now: monotonic seconds.
-    :param care: what it may share the worker with.
+    :param care: isolation that the task needs.
     """
-    # room comes first: in a long queue it is what most workers lack
+    # free capacity is checked first: with a long queue most workers have none
     return (
         worker.has_room(step)
         and worker.is_open(now)
-        and worker.admits(group[0], care)
-        and _is_allowed(worker, step, group)
+        and worker.meets_isolation(step_key[0], care)
+        and _is_allowed(worker, step, step_key)
     )
 
 
-def may_ever_run(worker: WorkerRecord, step: Step, group: Group) -> bool:
-    """Tell whether a task could run on a worker once other tasks have ended.
+def may_ever_run(worker: WorkerRecord, step: Step, step_key: Group) -> bool:
+    """Return whether a task fits on a worker once the other tasks there have ended.
 
     :param worker: the worker.
-    :param step: the task's step.
-    :param group: job, occurrence and number of the step.
+    :param step: step of the task.
+    :param step_key: job, occurrence and number of the step.
     """
     entry = worker.entry
     return (
@@ -213,14 +220,16 @@
         and step.cpu <= entry.cpu
         and step.memory_mb <= entry.memory_mb
         and step.accelerators <= entry.accelerators
-        and _is_allowed(worker, step, group)
+        and _is_allowed(worker, step, step_key)
     )
 
 
-def _is_allowed(worker: WorkerRecord, step: Step, group: Group) -> bool:
+def _is_allowed(worker: WorkerRecord, step: Step, step_key: Group) -> bool:
     if step.requires and step.requires not in worker.entry.labels:
         return False
-    return not step.anti_affinity or worker.present.get(group, 0) < step.anti_affinity
+    return (
+        not step.anti_affinity or worker.present.get(step_key, 0) < step.anti_affinity
+    )
 
 
 def rank_worker(
@@ -229,43 +238,51 @@
     avoid: t.Collection[str],
     care: Care = Care.NONE,
 ) -> Rank:
-    """Rank an eligible worker; the lowest rank is taken.
+    """Return the rank of an eligible worker; the lowest rank is chosen.
 
     :param worker: the worker.
-    :param step: the task's step.
-    :param avoid: workers on which the task failed before.
-    :param care: what it may share the worker with.
+    :param step: step of the task.
+    :param avoid: ids of the workers on which the task has failed.
+    :param care: isolation that the task needs.
     """
     entry = worker.entry
-    far = bool(step.affinity) and step.affinity not in entry.labels
+    misses_affinity = bool(step.affinity) and step.affinity not in entry.labels
     load = worker.cpu_used / entry.cpu if entry.cpu else 0.0
-    # a suspect goes where a crash costs least
+    # a suspected task is placed where the fewest runs would be lost in a crash
     spreads = step.target_ms or step.fills or care is not Care.NONE
-    spread = load if spreads else -load
-    # a serving task would have to leave a worker that is due
+    load_order = load if spreads else -load
+    # a serving task would have to be moved before the maintenance of the VM
     due = step.long_running and worker.due
-    return (entry.worker_id in avoid, far, worker.strikes, due, spread, entry.worker_id)
+    return (
+        entry.worker_id in avoid,
+        misses_affinity,
+        worker.strikes,
+        due,
+        load_order,
+        entry.worker_id,
+    )
 
 
 def choose_worker(
     workers: t.Iterable[WorkerRecord],
     step: Step,
-    group: Group,
+    step_key: Group,
     now: float,
     avoid: t.Collection[str] = (),
     care: Care = Care.NONE,
 ) -> WorkerRecord | None:
-    """Choose a worker for a task, or ``None`` when none has room.
+    """Choose the best worker for a task.
 
-    :param workers: the shard's workers.
-    :param step: the task's step.
-    :param group: job, occurrence and number of the step.
+    :param workers: workers of the shard.
+    :param step: step of the task.
+    :param step_key: job, occurrence and number of the step.
     :param now: monotonic seconds.
-    :param avoid: workers on which the task failed before.
-    :param care: what it may share its worker with.
+    :param avoid: ids of the workers on which the task has failed.
+    :param care: isolation that the task needs.
+    :returns: the worker, or ``None`` if no worker is eligible.
     """
     eligible = [
-        worker for worker in workers if is_eligible(worker, step, group, now, care)
+        worker for worker in workers if is_eligible(worker, step, step_key, now, care)
     ]
     if not eligible:
         return None
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -1,4 +1,4 @@
-"""Placing by an index: the same choices as by looking at every worker for each task."""
+"""Candidate heaps: same choices as with a check of every worker for each task."""
 
 import random
 import typing as t
@@ -10,7 +10,7 @@
 from bench.shard import build_shard
 from onyxgap.jobs import candidates
 from onyxgap.jobs.candidates import PlanRoom
-from onyxgap.jobs.candidates import asks_as_much
+from onyxgap.jobs.candidates import needs_as_much
 from onyxgap.jobs.messages import Step
 from onyxgap.jobs.messages import WorkerEntry
 from onyxgap.jobs.messages import WorkerState
@@ -57,93 +57,96 @@
     )
 
 
-def place_with(
+def place_all(
     records: t.Sequence[WorkerRecord],
     steps: t.Sequence[Step],
     avoided: t.Sequence[t.Sequence[tuple[str, ...]]],
-    indexed: bool,
+    use_heap: bool,
 ) -> list[list[str]]:
-    """Place the tasks of all steps; gives the workers chosen, step by step."""
+    """Place the tasks of all steps and return the ids of the chosen workers by step."""
     chosen: list[list[str]] = []
-    room = PlanRoom([item for item in records if item.is_open(NOW)], NOW)
+    capacity = PlanRoom([item for item in records if item.is_open(NOW)], NOW)
     for number, step in enumerate(steps):
-        group = (f"job{number}", 0, 0)
+        step_key = (f"job{number}", 0, 0)
         chosen.append([])
-        if indexed and room.is_refused(step):
+        if use_heap and capacity.is_refused(step):
             continue
-        ranked = room.rank(step, group)
+        ranked = capacity.rank(step, step_key)
         for avoid in avoided[number]:
-            if indexed:
+            if use_heap:
                 record = ranked.choose(avoid)
             else:
-                record = choose_worker(records, step, group, NOW, avoid)
+                record = choose_worker(records, step, step_key, NOW, avoid)
             if record is None:
-                room.note_refused(step)
+                capacity.note_refused(step)
                 break
-            record.reserve(step, group)
+            record.reserve(step, step_key)
             chosen[-1].append(record.entry.worker_id)
     return chosen
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_index_chooses_as_the_naive_way_does(seed: int) -> None:
+def test_heap_and_full_search_choose_the_same_workers(seed: int) -> None:
     rng = random.Random(seed)
     records = [draw_worker(rng, number) for number in range(rng.randint(1, 40))]
     copies = [attrs.evolve(item, present=dict(item.present)) for item in records]
     steps = [draw_step(rng) for _ in range(60)]
-    names = [item.entry.worker_id for item in records]
+    worker_ids = [item.entry.worker_id for item in records]
     avoided = [
-        [(rng.choice(names),) if rng.random() < 0.1 else () for _ in range(step.count)]
+        [
+            (rng.choice(worker_ids),) if rng.random() < 0.1 else ()
+            for _ in range(step.count)
+        ]
         for step in steps
     ]
-    assert place_with(records, steps, avoided, True) == place_with(
+    assert place_all(records, steps, avoided, True) == place_all(
         copies, steps, avoided, False
     )
 
 
-def test_only_workers_with_tickets_are_ranked() -> None:
+def test_only_allowed_workers_are_candidates() -> None:
     rng = random.Random(3)
     records = [draw_worker(rng, number) for number in range(30)]
     open_ids = [item.entry.worker_id for item in records if item.is_open(NOW)]
-    room = PlanRoom(records, NOW)
-    chosen = room.rank(Step(1, cpu=1), ("j", 0, 0), open_ids[:1]).choose()
+    capacity = PlanRoom(records, NOW)
+    chosen = capacity.rank(Step(1, cpu=1), ("j", 0, 0), open_ids[:1]).choose()
     assert chosen is not None
     assert chosen.entry.worker_id == open_ids[0]
 
 
-def test_step_that_fills_asks_for_no_cores() -> None:
+def test_filling_step_needs_no_cores() -> None:
     serving, filling = Step(1, cpu=4_000), Step(1, cpu=4_000, fills=True)
-    assert asks_as_much(serving, filling)
-    assert not asks_as_much(filling, serving)
+    assert needs_as_much(serving, filling)
+    assert not needs_as_much(filling, serving)
 
 
-def test_whole_idle_pool_is_filled_with_one_look_at_each_worker_a_step(
+def test_idle_pool_is_filled_with_one_check_of_each_worker_a_step(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """400 jobs of six tasks on 400 workers: 960,000 looks before the index."""
-    looks = 0
+    """400 jobs of six tasks on 400 workers took 960,000 checks without heaps."""
+    checks = 0
 
-    def count_look(*args: t.Any) -> bool:
-        nonlocal looks
-        looks += 1
+    def count_check(*args: t.Any) -> bool:
+        nonlocal checks
+        checks += 1
         return is_eligible(*args)
 
-    monkeypatch.setattr(candidates, "is_eligible", count_look)
+    monkeypatch.setattr(candidates, "is_eligible", count_check)
     shard = build_shard(400)
     add_jobs(shard, 400)
     assert len(shard.plan(2.0, 0.0)) == 2_400
-    assert looks <= 400 * 400 + 2_400
+    assert checks <= 400 * 400 + 2_400
 
 
-def test_full_pool_is_looked_at_once_for_many_waiting_jobs() -> None:
-    """150 full workers, 400 waiting jobs: 23 ms a plan before, 2 ms with the index."""
+def test_full_pool_is_checked_once_for_many_waiting_jobs() -> None:
+    """150 full workers, 400 waiting jobs: a pass took 23 ms, and 2 ms with heaps."""
     shard = build_shard(150)
     add_jobs(shard, 150 * 16 // 6 + 400)
     shard.plan(2.0, 0.0)
-    room = PlanRoom(list(shard.workers.values()), 2.0)
+    capacity = PlanRoom(list(shard.workers.values()), 2.0)
     step = Step(6, cpu=4_000, memory_mb=16_000, estimate_ms=640)
-    assert room.rank(step, ("j", 0, 0)).choose() is None
-    room.note_refused(step)
-    assert room.is_refused(step)
-    assert not room.is_refused(attrs.evolve(step, cpu=3_999))
+    assert capacity.rank(step, ("j", 0, 0)).choose() is None
+    capacity.note_refused(step)
+    assert capacity.is_refused(step)
+    assert not capacity.is_refused(attrs.evolve(step, cpu=3_999))
     assert shard.plan(2.0, 0.0) == []
