--- a/src/onyxgap/jobs/health.py
+++ b/src/onyxgap/jobs/health.py
@@ -1,4 +1,4 @@
-"""Whether the store answers; refuses at once what would only wait for it."""
+"""Health of the store, so that calls can fail fast while it does not answer."""
 
 import attrs
 import structlog
@@ -16,22 +16,25 @@
 from .timeouts import WriteTimeout
 
 OUTAGE_S = 0.6
-"""Failing for this long counts as an outage: longer than a slow store's 300 ms."""
+"""Failures for this long count as an outage. It is longer than the 300 ms that a call
+to a slow store takes."""
 SUSPECT_S = 0.1
-"""Failing for this long, other ways are tried; in calm a call takes some 5 ms."""
+"""Failures for this long make the store suspect, and a call may be forwarded to another
+node. A normal call takes about 5 ms."""
 LATENCY_WEIGHT = 0.5
-"""Weight of the newest call: a store that turns slow is known after two looks."""
+"""Weight of the newest call; two calls are enough to notice that the store is slow."""
 
 _LOG = structlog.get_logger()
 
 
 @attrs.define
 class StoreHealth:
-    """When the store answered last, and since when it does not.
+    """Last answer of the store, time of the first failure after it, and latency.
 
     :param answered_at: monotonic seconds of the last answer.
-    :param failing_since: monotonic seconds of the first failure after it.
-    :param latency_s: smoothed time of calls that need not wait for anything.
+    :param failing_since: monotonic seconds of the first failure after the last answer,
+        or ``None``.
+    :param latency_s: smoothed latency of calls that do not wait for changes.
     """
 
     answered_at: float = 0.0
@@ -39,43 +42,43 @@
     latency_s: float = 0.0
 
     def note_latency(self, took_s: float) -> None:
-        """Take in how long a call took that need not wait for anything."""
+        """Record the duration of a call that did not wait for changes."""
         self.latency_s += LATENCY_WEIGHT * (took_s - self.latency_s)
 
     def note_answer(self, now: float) -> None:
-        """Take in an answer."""
+        """Record an answer."""
         if self.failing_since is not None and now - self.failing_since > OUTAGE_S:
             _LOG.info("store regained", away_s=now - self.failing_since)
         self.answered_at = now
         self.failing_since = None
 
     def note_failure(self, now: float, reason: str) -> None:
-        """Take in that a call got no answer or was refused.
+        """Record a call that got no answer or was refused.
 
         :param now: monotonic seconds.
-        :param reason: for the log.
+        :param reason: reason of the failure, for the log.
         """
         if self.failing_since is None:
             self.failing_since = now
             _LOG.info("store call failed", reason=reason)
 
     def is_suspect(self, now: float) -> bool:
-        """Tell whether calls fail, and another node may hear the store better."""
+        """Return whether calls fail, but another node may still reach the store."""
         return self.failing_since is not None and now - self.failing_since >= SUSPECT_S
 
     def is_down(self, now: float) -> bool:
-        """Tell whether calls fail without an answer between them."""
+        """Return whether calls have failed for :data:`OUTAGE_S` without an answer."""
         return self.failing_since is not None and now - self.failing_since >= OUTAGE_S
 
 
 @attrs.define
 class WatchedStore:
-    """A store whose answers and failures are noted.
+    """A store that records its answers and failures in a :class:`StoreHealth`.
 
     :param store: the store.
-    :param health: takes the notes.
-    :param clocks: the process's clocks.
-    :param timeout: adapts the timeout of writes.
+    :param health: health of the store, updated by each call but :meth:`list_parts`.
+    :param clocks: clocks of the process.
+    :param timeout: adaptive timeout of writes.
     """
 
     store: Store
@@ -86,7 +89,12 @@
     async def write(
         self, batch: Batch, timeout_s: float = WRITE_TIMEOUT_S
     ) -> WriteOutcome:
-        """Try a batch once; never raises for a failed call."""
+        """Try to write a batch once.
+
+        :param batch: the batch.
+        :param timeout_s: upper limit for the adaptive timeout, in seconds.
+        :returns: the outcome; a failed call does not raise.
+        """
         started = self.clocks.read_monotonic()
         timeout_s = min(timeout_s, self.timeout.get())
         outcome = await self.store.write(batch, timeout_s)
@@ -101,9 +109,9 @@
         return outcome
 
     async def read(self, table: str, part: str, key: str = "") -> Page:
-        """Read a partition, or one row of it.
+        """Read a partition, or a single row of it.
 
-        :raises PlatformUnavailableError: when no answer came.
+        :raises PlatformUnavailableError: if the store does not answer.
         """
         try:
             page = await self.store.read(table, part, key)
@@ -116,15 +124,15 @@
     async def list_parts(self, table: str) -> tuple[str, ...]:
         """List the partitions of a table.
 
-        :raises PlatformUnavailableError: when no answer came.
+        :raises PlatformUnavailableError: if the store does not answer.
         """
         return await self.store.list_parts(table)
 
     async def follow(self, table: str, after: int, wait_s: float) -> Page:
-        """Wait for changes of a table after a version.
+        """Wait for changes to a table after a version.
 
-        :raises HistoryLostError: when the store no longer has the changes.
-        :raises PlatformUnavailableError: when no answer came.
+        :raises HistoryLostError: if the store no longer has the changes.
+        :raises PlatformUnavailableError: if the store does not answer.
         """
         started = self.clocks.read_monotonic()
         try:
--- a/src/onyxgap/jobs/job.py
+++ b/src/onyxgap/jobs/job.py
@@ -1,4 +1,4 @@
-"""A job as its owner sees it: occurrences, tasks and runs."""
+"""State of a job at its owner: occurrences, tasks and runs."""
 
 import enum
 import typing as t
@@ -17,7 +17,7 @@
 
 
 class TaskPhase(enum.IntEnum):
-    """Phase of a task; the numbers are those of the stored form."""
+    """Phase of a task; the numbers are part of the stored format."""
 
     WAITING = 0
     DONE = 1
@@ -29,31 +29,34 @@
 class Task:
     """A task and its current run.
 
-    :param task_id: its identity.
-    :param phase: where it stands.
+    :param task_id: id of the task.
+    :param phase: phase of the task.
     :param run: number of the newest run, 0 before the first.
     :param worker_id: worker of the current run, or empty.
-    :param failures: runs that ended as failed.
+    :param failures: number of runs that ended as failed.
     :param checkpoint: newest checkpoint, or empty.
-    :param percent: share of the work done as last reported.
+    :param percent: share of the work that is done according to the last report.
     :param figure: figure of the last report; see :class:`RunningTask`.
-    :param started_at: monotonic seconds of the order to start.
-    :param sent: whether the order to start was sent; it is stored before.
-    :param start_deadline_ms: deadline of the order, on the worker's clock.
-    :param confirmed_at: monotonic seconds when the run was known to be there.
-    :param confirmed_ms: the worker's clock then, ``None`` where it was not told.
-    :param listed_ms: how much later on that clock a report last listed the run.
-    :param stopping: whether an order to stop stands.
-    :param stop_sent_at: monotonic seconds when it was last sent.
-    :param failed_on: workers on which it failed, newest last.
-    :param not_before: monotonic seconds before which it is not tried again.
-    :param pace: percent of its speed that it was last told to keep.
-    :param progress: progress of the current run as reported.
-    :param barred_at: monotonic seconds when the present life of its worker said that it
-        will not start the run, which was ordered from a former one; infinite before,
-        ``None`` for any other run.
-    :param moves: times that it was taken off a worker that stood still.
-    :param suspicion: what crashes of its workers tell of it.
+    :param started_at: monotonic seconds when the start order was placed or sent, 0 for
+        an order of an earlier owner.
+    :param sent: whether the start order was sent; it is stored before that.
+    :param start_deadline_ms: deadline of the start order, on the worker's clock.
+    :param confirmed_at: monotonic seconds when the run was first known to be on its
+        worker, or ``None``.
+    :param confirmed_ms: the worker's clock at that time, or ``None`` if not known.
+    :param listed_ms: milliseconds on that clock from the confirmation to the newest
+        report that listed the run.
+    :param stopping: whether the run is to be stopped.
+    :param stop_sent_at: monotonic seconds when the stop order was last sent.
+    :param failed_on: ids of the workers on which the task failed, newest last.
+    :param not_before: monotonic seconds before which the task is not tried again.
+    :param pace: percent of full speed that the run was last told to keep.
+    :param progress: progress of the current run according to the reports.
+    :param barred_at: for a run that a previous incarnation of its worker was
+        ordered to start: monotonic seconds when the present incarnation confirmed that
+        it will not start the run, or infinity before. ``None`` for any other run.
+    :param moves: number of times that the task was moved off a stalled worker.
+    :param suspicion: runs of the task that were lost with their workers.
     """
 
     task_id: TaskId
@@ -82,15 +85,15 @@
 
     @property
     def placed(self) -> bool:
-        """Whether a run may be on a worker."""
+        """Whether a run of the task may be on a worker."""
         return self.phase in (TaskPhase.STARTING, TaskPhase.RUNNING)
 
     def place(self, worker_id: str, now: float, deadline_ms: float, run: int) -> None:
-        """Record the intent to start a run.
+        """Record that a run is to be started on a worker.
 
-        :param worker_id: the worker.
+        :param worker_id: id of the worker.
         :param now: monotonic seconds.
-        :param deadline_ms: deadline of the start on the worker's clock.
+        :param deadline_ms: deadline of the start order, on the worker's clock.
         :param run: number of the run.
         """
         self.phase = TaskPhase.STARTING
@@ -113,7 +116,7 @@
         """Record that the run is on its worker.
 
         :param now: monotonic seconds.
-        :param clock_ms: the worker's clock, if it told.
+        :param clock_ms: milliseconds on the worker's clock, if known.
         """
         if self.phase is TaskPhase.STARTING:
             self.phase = TaskPhase.RUNNING
@@ -126,23 +129,24 @@
         """Record that a report lists the run.
 
         :param now: monotonic seconds.
-        :param clock_ms: the worker's clock when it wrote the report.
+        :param clock_ms: milliseconds on the worker's clock at the time of the report.
         """
         self.confirm(now, clock_ms)
         assert self.confirmed_ms is not None
         self.listed_ms = max(self.listed_ms, clock_ms - self.confirmed_ms)
 
     def measure_stand_ms(self, heard_ms: float) -> float:
-        """Measure for how long the run surely did not crash its worker.
+        """Return for how long the run is known not to have crashed its worker.
 
-        :param heard_ms: latest reading of the worker's clock.
+        :param heard_ms: latest known reading of the worker's clock.
+        :returns: milliseconds.
         """
         if self.confirmed_ms is None:
             return self.listed_ms
         return max(self.listed_ms, heard_ms - self.confirmed_ms)
 
     def release(self) -> None:
-        """Record that no run is on a worker any more."""
+        """Record that no run of the task is on a worker any more."""
         self.phase = TaskPhase.WAITING
         self.worker_id = ""
         self.stopping = False
@@ -152,11 +156,11 @@
 
 @attrs.define(slots=True)
 class Occurrence:
-    """One run through the steps of a job.
+    """One execution of all steps of a job.
 
-    :param number: counted from 0.
+    :param number: number of the occurrence, from 0.
     :param steps: tasks by step.
-    :param remaining: tasks not done, by step.
+    :param remaining: number of tasks that are not done, by step.
     """
 
     number: int
@@ -165,14 +169,14 @@
 
     @property
     def done(self) -> bool:
-        """Whether each task has ended as done."""
+        """Whether all tasks are done."""
         return not any(self.remaining)
 
 
 def build_occurrence(submission: Submission, number: int) -> Occurrence:
-    """Build an occurrence of which nothing has started.
+    """Build an occurrence whose tasks have not started.
 
-    :param submission: the job.
+    :param submission: submission of the job.
     :param number: number of the occurrence.
     """
     steps = [
@@ -189,21 +193,23 @@
 class Job:
     """A job with its progress.
 
-    :param submission: what the caller asked for.
-    :param state: its state, not yet stored perhaps.
-    :param stored_state: its state as the store has it.
-    :param occurrences: those that are open, by number.
-    :param finished: occurrences that are done, below :attr:`next_occurrence`.
-    :param next_occurrence: number of the next one to open.
+    :param submission: the job as submitted.
+    :param state: current state, which may not be stored yet.
+    :param stored_state: state in the store, or ``None`` if none is stored yet.
+    :param occurrences: open occurrences by number.
+    :param finished: number of finished occurrences.
+    :param next_occurrence: number of the next occurrence to open.
     :param started: whether a worker has confirmed, listed or ended a run of any of its
-        tasks; a placed or sent order may never reach its worker.
-    :param seen_at: monotonic seconds when the owner learned of the job.
-    :param placed_at: monotonic seconds when its first task was placed by this owner,
-        ``None`` before.
-    :param beyond: whether its tenant had handed in more than its rate just then.
-    :param capped_at: monotonic seconds since when a step waits for its tenant's cap,
-        ``None`` where none does.
-    :param chain_ms: longest chain of estimated run times.
+        tasks. An order that is only placed or sent may never reach its worker.
+    :param seen_at: monotonic seconds of the acceptance, by the owner's clock.
+    :param placed_at: monotonic seconds when this owner placed the first task of the
+        job, or ``None``.
+    :param beyond: whether the tenant was over its rate when the job was accepted.
+    :param capped_at: monotonic seconds since when a step of the job waits for its
+        tenant's cap, or ``None``.
+    :param chain_ms: estimated run time of the critical path.
+    :param tails_ms: estimated run time of the critical path from the start of
+        each step to the end of the job.
     """
 
     submission: Submission
@@ -226,11 +232,11 @@
 
     @property
     def wanted_occurrences(self) -> int:
-        """How often the steps run in all."""
+        """Total number of occurrences."""
         return max(1, self.submission.times)
 
     def find_task(self, task_id: TaskId) -> Task | None:
-        """Find a task of an open occurrence."""
+        """Return a task of an open occurrence, or ``None`` if there is none."""
         occurrence = self.occurrences.get(task_id.occurrence)
         if occurrence is None:
             return None
@@ -240,15 +246,15 @@
             return None
 
     def get_step(self, task: Task) -> Step:
-        """Give the step of a task."""
+        """Return the step of a task."""
         return self.submission.steps[task.task_id.step]
 
     def list_siblings(self, task: Task) -> list[Task]:
-        """List the tasks of a task's step, itself among them."""
+        """Return all tasks of the step of a task, including the task itself."""
         return self.occurrences[task.task_id.occurrence].steps[task.task_id.step]
 
     def list_placed(self) -> t.Iterator[Task]:
-        """Yield the tasks that may be on a worker."""
+        """Yield the tasks of which a run may be on a worker."""
         for occurrence in self.occurrences.values():
             for tasks in occurrence.steps:
                 for task in tasks:
@@ -256,10 +262,10 @@
                         yield task
 
     def open_due(self, wall_ms: float) -> bool:
-        """Open each occurrence whose time has come.
+        """Open all occurrences that are due.
 
-        :param wall_ms: wall-clock milliseconds since 1970.
-        :returns: whether any was opened.
+        :param wall_ms: Unix milliseconds.
+        :returns: whether any occurrence was opened.
         """
         opened = False
         while self.next_occurrence < self.wanted_occurrences:
@@ -272,12 +278,12 @@
         return opened
 
     def get_due_ms(self) -> float:
-        """Give the due time of the next occurrence, in ms since 1970."""
+        """Return the due time of the next occurrence, in Unix milliseconds."""
         submission = self.submission
         return submission.start_at_ms + self.next_occurrence * submission.interval_ms
 
     def list_ready(self) -> t.Iterator[tuple[Occurrence, int]]:
-        """Yield occurrence and step wherever tasks may start."""
+        """Yield occurrence and step number of each unfinished step that may start."""
         for occurrence in self.occurrences.values():
             for number, step in enumerate(self.submission.steps):
                 if not occurrence.remaining[number]:
@@ -290,7 +296,7 @@
         """Record how the current run of a task ended.
 
         :param task: the task.
-        :param end: the end of its current run.
+        :param end: the report of the end.
         """
         self.started = True
         step = self.get_step(task)
@@ -330,14 +336,14 @@
 
 
 def measure_tails(steps: t.Sequence[Step]) -> tuple[float, ...]:
-    """Estimate the chain of run times from each step to the end of the job.
+    """Estimate the critical path from the start of each step to the end of the job.
 
-    :param steps: the steps; each comes after earlier ones only.
+    :param steps: steps in topological order: each depends only on earlier ones.
     :returns: milliseconds by step.
     """
-    tails = [float(step.estimate_ms) for step in steps]
+    paths = [float(step.estimate_ms) for step in steps]
     for number in range(len(steps) - 1, -1, -1):
         for earlier in steps[number].after:
             own = float(steps[earlier].estimate_ms)
-            tails[earlier] = max(tails[earlier], own + tails[number])
-    return tuple(tails)
+            paths[earlier] = max(paths[earlier], own + paths[number])
+    return tuple(paths)
--- a/src/onyxgap/jobs/lives.py
+++ b/src/onyxgap/jobs/lives.py
@@ -1,14 +1,15 @@
-"""Lives of a worker; answers workers that start again under the id that they had.
+"""Tells apart the incarnations of a worker that restarts under the same id.
 
-What a worker says of itself may carry the moment of its start. What it runs, the
-numbers of its ends, its clock and the highest fence that it saw belong to one life.
+Messages of a worker may carry the time of its start. Its runs, the sequence numbers of
+its ended runs, its clock and the highest fencing token that it has seen belong to one
+incarnation.
 """
 
 import enum
 
 
 class LifeSign(enum.Enum):
-    """What a message tells of the life of its worker."""
+    """Incarnation that a message comes from, compared with the known one."""
 
     SAME = "same"
     LATER = "later"
@@ -16,13 +17,12 @@
 
 
 def compare_life(known: int, told: int) -> LifeSign:
-    """Compare the start that a message tells with the one that is known.
+    """Compare the start time in a message with the known start time of the worker.
 
-    A worker that never told its start, or does not tell it in this message, counts as
-    the one that is known.
+    If either time is missing, the message counts as one of the known incarnation.
 
-    :param known: Unix milliseconds, 0 where the start is not known.
-    :param told: the same, as the message has it.
+    :param known: Unix milliseconds, 0 if the start time is not known.
+    :param told: Unix milliseconds, 0 if the message has no start time.
     """
     if not known or not told or known == told:
         return LifeSign.SAME
--- a/src/onyxgap/jobs/workers.py
+++ b/src/onyxgap/jobs/workers.py
@@ -1,4 +1,4 @@
-"""Orders to workers, their replies, and what is known of a worker's clock."""
+"""Orders to workers, their replies, and estimates of their clocks."""
 
 import enum
 import typing as t
@@ -9,14 +9,14 @@
 from .messages import RunningTask
 from .messages import TaskId
 
-CLOCK_DRIFT = 0.02
-"""A worker's clock may run this share slow; the platform's published bound."""
+MAX_CLOCK_DRIFT = 0.02
+"""Largest share by which a worker's clock runs slow, as published by the platform."""
 MS = 1000.0
 """Milliseconds in a second."""
 
 
 class ReplyKind(enum.Enum):
-    """What a worker did with an order."""
+    """Outcome of an order to a worker."""
 
     DONE = "done"
     STALE_OWNER = "stale-owner"
@@ -35,9 +35,9 @@
 class Reply:
     """A worker's reply to an order.
 
-    :param kind: what it did.
-    :param clock_ms: its clock, if it told.
-    :param detail: for the log.
+    :param kind: outcome of the order.
+    :param clock_ms: milliseconds on the worker's clock, if the reply has them.
+    :param detail: details for the log.
     """
 
     kind: ReplyKind
@@ -49,13 +49,14 @@
 class StartOrder:
     """An order to start a run.
 
-    :param worker_id: the intended life of the worker.
-    :param address: its address.
+    :param worker_id: id of the intended worker; another one at the address refuses.
+    :param address: address of the worker.
     :param task: the task.
-    :param run: number of the run; rises with each start of the task.
-    :param spec: the job's opaque text.
-    :param deadline_ms: time on the worker's clock after which it must not start.
-    :param epoch: fencing token of the owner.
+    :param run: number of the run, which increases with each start of the task.
+    :param spec: opaque specification from the job.
+    :param deadline_ms: milliseconds on the worker's clock after which the run must not
+        start.
+    :param epoch: epoch of the owner, used as fencing token.
     :param checkpoint: checkpoint to resume from, or empty.
     :param ticket: ticket of the policy service, or empty.
     """
@@ -73,13 +74,13 @@
 
 @attrs.frozen(slots=True)
 class StopOrder:
-    """An order about a run that is on a worker.
+    """An order to stop a run on a worker, or to set its pace.
 
-    :param worker_id: the intended life of the worker.
-    :param address: its address.
+    :param worker_id: id of the intended worker; another one at the address refuses.
+    :param address: address of the worker.
     :param task: the task.
     :param run: number of the run.
-    :param epoch: fencing token of the owner.
+    :param epoch: epoch of the owner, used as fencing token.
     """
 
     worker_id: str
@@ -91,14 +92,15 @@
 
 @attrs.frozen(slots=True)
 class HoldOrder:
-    """An order to keep what runs alive, and to report.
-
-    :param worker_id: the intended life of the worker.
-    :param address: its address.
-    :param epoch: fencing token of the owner.
-    :param acknowledged: sequence up to which ends are stored.
-    :param deadline_ms: new end of the lease on the worker's clock, or ``None``.
-    :param wait_ms: how long the worker may wait for an end before it answers.
+    """A hold request: renews the leases of a worker's runs and asks for a report.
+
+    :param worker_id: id of the intended worker; another one at the address refuses.
+    :param address: address of the worker.
+    :param epoch: epoch of the owner, used as fencing token.
+    :param acknowledged: sequence number up to which the ended runs are stored.
+    :param deadline_ms: new lease deadline in milliseconds on the worker's clock, or
+        ``None`` to leave the leases as they are.
+    :param wait_ms: how long the worker may wait for a run to end before it answers.
     """
 
     worker_id: str
@@ -111,12 +113,12 @@
 
 @attrs.frozen(slots=True)
 class HoldReport:
-    """What a worker runs and what has ended there.
+    """A worker's answer to a hold request: its present and its ended runs.
 
-    :param clock_ms: its clock.
+    :param clock_ms: milliseconds on the worker's clock.
     :param running: runs that are present.
-    :param ended: ends that are not acknowledged yet, in order.
-    :param born: Unix milliseconds of its start, 0 where it does not tell.
+    :param ended: ended runs that are not acknowledged yet, in order.
+    :param born: Unix milliseconds of the start of the worker, 0 if not reported.
     """
 
     clock_ms: float
@@ -126,44 +128,48 @@
 
 
 class Workers(t.Protocol):
-    """Calls to workers; none raises for a failed call."""
+    """Client for calls to workers; no method raises for a failed call."""
 
     async def start(self, order: StartOrder) -> Reply:
-        """Order a run to start."""
+        """Start a run."""
 
     async def stop(self, order: StopOrder) -> Reply:
-        """Order a run to stop; it never starts afterwards."""
+        """Stop a run; the worker will not start it after that."""
 
     async def set_pace(self, order: StopOrder, percent: int) -> Reply:
-        """Order a run to work at a share of its speed."""
+        """Limit the speed of a run.
+
+        :param order: the run.
+        :param percent: percent of its full speed, 0 to 100.
+        """
 
     async def hold(self, order: HoldOrder) -> HoldReport | Reply:
-        """Extend the lease of everything on a worker and read its lists."""
+        """Renew the leases of all runs on a worker and get its report."""
 
     async def forget(self, worker_id: str) -> None:
-        """Close the connections to a worker that is gone."""
+        """Close the connections to a worker that no longer exists."""
 
 
 @attrs.define(slots=True)
 class WorkerClock:
-    """What is known of a worker's clock, from samples and our monotonic clock.
+    """Estimate of a worker's clock from its readings and our monotonic clock.
 
-    :param sample_ms: newest reading of the worker's clock.
-    :param read_at: monotonic seconds when that reading arrived.
+    :param sample_ms: reading of the worker's clock, in milliseconds.
+    :param read_at: monotonic seconds when the reading arrived.
     """
 
     sample_ms: float
     read_at: float
 
     def observe(self, sample_ms: float, now: float) -> None:
-        """Take a new reading, unless an older one says that more time has passed."""
+        """Use a new reading, unless the present one gives a higher lower bound."""
         if sample_ms >= self.bound_low(now):
             self.sample_ms, self.read_at = sample_ms, now
 
     def estimate(self, now: float) -> float:
-        """Estimate the worker's clock in milliseconds."""
+        """Return the estimated reading of the worker's clock, in milliseconds."""
         return self.sample_ms + (now - self.read_at) * MS
 
     def bound_low(self, now: float) -> float:
-        """Give the least that the worker's clock can show."""
-        return self.sample_ms + (now - self.read_at) * MS * (1 - CLOCK_DRIFT)
+        """Return the lowest possible reading of the worker's clock, in milliseconds."""
+        return self.sample_ms + (now - self.read_at) * MS * (1 - MAX_CLOCK_DRIFT)
