--- a/src/onyxgap/jobs/shard.py
+++ b/src/onyxgap/jobs/shard.py
@@ -1,7 +1,8 @@
-"""The jobs and workers of one shard, and what to start and stop next.
+"""Schedules the tasks of one shard onto its workers.
 
-Pure state: the daemon feeds it rows, reports and replies, asks for a plan, stores
-what changed, and only then sends the orders.
+Holds state only and calls neither the store nor workers. The daemon passes in rows,
+reports and replies and runs a scheduling pass. It then stores what changed, and only
+then sends the orders.
 """
 
 import typing as t
@@ -38,71 +39,77 @@
 from .workers import StartOrder
 
 START_WINDOW_MS = 500.0
-"""How long an order to start stays valid; a lost one is settled by the first report
-asked for after that. Orders that workers carry out late come 2 s late or more."""
+"""How long a start order stays valid. Whether a lost order has started its run is
+settled by the first report requested after that. Orders that workers carry out late
+come at least 2 s late."""
 
 _LOG = structlog.get_logger()
 
 
 @attrs.define
 class Shard(ShardStops):
-    """State of one shard under its owner, and what to start and stop next.
+    """State of one shard at its owner, and the scheduler of its tasks.
 
     :param shares: its shares of tenants' caps; ``None`` where there are no tenants.
-    :param find_weight: gives a tenant's weight where tenants share the room by weight;
-        ``None`` where all stand in one line.
-    :param line: what might start at the last plan, in its order; kept where run times
-        are learned.
-    :param fleet_vms: VMs of all pools in the beginning, 0 where they are not known.
-    :param beyond: steps that stood beyond their tenants' shares in the last plan.
+    :param find_weight: returns a tenant's weight where capacity is shared by weight;
+        ``None`` where the jobs of all tenants share one queue.
+    :param beyond: number of steps over their tenants' shares in the last scheduling
+        pass.
+    :param backlog: steps that were ready in the last scheduling pass, in its order;
+        kept only where run times are learned.
+    :param fleet_vms: initial number of VMs of all pools, 0 if unknown.
     """
 
     shares: ShareBook | None = None
     find_weight: t.Callable[[str], float] | None = None
     beyond: int = 0
-    line: t.Sequence[Ready] = ()
+    backlog: t.Sequence[Ready] = ()
     fleet_vms: int = 0
 
     def plan(self, now: float, wall_ms: float) -> list[StartOrder]:
-        """Choose what to start; records each choice as an intent.
+        """Run a scheduling pass: choose tasks to start, and their workers.
+
+        Records each choice as an intent to start, which has to be stored.
 
         :param now: monotonic seconds.
         :param wall_ms: wall-clock milliseconds since 1970.
-        :returns: orders to send once the intents are stored.
+        :returns: start orders, to be sent once the intents are stored.
         """
         orders: list[StartOrder] = []
-        self.log_done()
-        self.evict_serving(now)
+        self.log_done_tasks()
+        self.evict_serving_tasks(now)
         self.move_stragglers(now)
         for record in self.workers.values():
             record.reserved = False
-        opened = [item for item in self.workers.values() if item.is_open(now)]
-        room = PlanRoom(opened, now)
+        open_workers = [
+            record for record in self.workers.values() if record.is_open(now)
+        ]
+        free_capacity = PlanRoom(open_workers, now)
         usage: t.Mapping[str, Amount] = {}
         if self.shares is not None:
             usage = measure_usage(self.workers.values(), self.jobs)
             self.shares.open_plan(usage)
-        for ready in self._order_ready(now, wall_ms, usage):
+        for ready in self._sort_ready(now, wall_ms, usage):
             if ready.job.submission.steps[ready.step].gang:
                 placed = self._place_gang(ready, now)
             else:
-                placed = list(self._place_tasks(ready, room, now))
+                placed = list(self._place_tasks(ready, free_capacity, now))
             if placed:
                 self._log_placing(ready, placed, now)
             orders += placed
         if self.shares is not None:
-            self.shares.close_plan(room.measure_free(), now)
+            self.shares.close_plan(free_capacity.measure_free(), now)
         return orders
 
-    def _admits(
+    def _fits_share(
         self, job: Job, step: Step, tasks: int, wanted: int, now: float
     ) -> bool:
-        """Tell whether tasks stay within their tenant's share; notes what does not.
+        """Tell whether tasks fit within their tenant's share; record those that don't.
 
         :param job: their job.
         :param step: their step.
-        :param tasks: how many start together.
-        :param wanted: how many such starts are wanted.
+        :param tasks: number of tasks that start together.
+        :param wanted: number of such starts that are wanted.
         :param now: monotonic seconds.
         """
         tenant = job.submission.tenant
@@ -140,100 +147,102 @@
         )
         job.capped_at = None
 
-    def _order_ready(
+    def _sort_ready(
         self, now: float, wall_ms: float, usage: t.Mapping[str, Amount]
     ) -> list[Ready]:
-        """List what may start, in the order in which it gets room."""
-        found = self._list_ready(now, wall_ms)
-        found.sort(key=Ready.get_rank)
+        """List the ready steps in the order in which they are placed."""
+        ready = self._list_ready(now, wall_ms)
+        ready.sort(key=Ready.get_rank)
         self.beyond = 0
         if self.find_weight is not None and self.shares is not None:
             elsewhere = self.shares.get_elsewhere()
-            demand = PoolDemand(self._measure_offer(), usage, elsewhere)
-            if not can_all_be_in_time(found, demand, now):
-                self.beyond = mark_beyond(found, demand, self.find_weight)
+            demand = PoolDemand(self._measure_pool_capacity(), usage, elsewhere)
+            if not can_all_be_in_time(ready, demand, now):
+                self.beyond = mark_beyond(ready, demand, self.find_weight)
             if self.beyond:
-                found.sort(key=Ready.get_rank)
+                ready.sort(key=Ready.get_rank)
         if self.run_times is not None:
-            self.line = found
-        return found
+            self.backlog = ready
+        return ready
 
     def get_start_lag(self) -> float:
-        """Give the smoothed seconds for which orders wait to be stored and sent."""
+        """Return the smoothed seconds that start orders wait to be stored and sent."""
         return self.run_times.lag_s if self.run_times is not None else 0.0
 
     def build_outlook(self, now: float) -> Outlook:
-        """Tell how long a job waits that comes now, as of the last plan.
+        """Estimate the wait of a job submitted now, as of the last scheduling pass.
 
         :param now: monotonic seconds.
         """
         if self.run_times is None:
             return Outlook()
         vms = sum(record.is_open(now) for record in self.workers.values())
-        room = PoolRoom(vms, self.fleet_vms)
-        return measure_outlook(self.line, self.get_capacity(), room, self.run_times)
+        pool = PoolRoom(vms, self.fleet_vms)
+        return measure_outlook(self.backlog, self.get_capacity(), pool, self.run_times)
 
-    def _measure_offer(self) -> Amount:
-        """Measure what the workers offer that may run tasks, used or not."""
-        offer = NOTHING
+    def _measure_pool_capacity(self) -> Amount:
+        """Sum the capacity, used or free, of the workers that may run tasks."""
+        capacity = NOTHING
         for record in self.workers.values():
             if record.held and record.registered and not record.cordoned:
                 entry = record.entry
-                offer += Amount(entry.cpu, entry.memory_mb, entry.accelerators)
-        return offer
+                capacity += Amount(entry.cpu, entry.memory_mb, entry.accelerators)
+        return capacity
 
     def _list_ready(self, now: float, wall_ms: float) -> list[Ready]:
-        found = []
+        ready = []
         for job in self.jobs.values():
             if job.state.final:
                 continue
             if job.open_due(wall_ms):
                 self.dirty.add(job.submission.job_id)
-            for occurrence, number in job.list_ready():
+            for occurrence, step_number in job.list_ready():
                 tasks = [
                     task
-                    for task in occurrence.steps[number]
+                    for task in occurrence.steps[step_number]
                     if task.phase is TaskPhase.WAITING and now >= task.not_before
                 ]
                 if tasks:
-                    urgency = rate_urgency(job, number, now, self.forecast)
-                    found.append(Ready(urgency, job, number, tasks))
-        return found
+                    urgency = rate_urgency(job, step_number, now, self.forecast)
+                    ready.append(Ready(urgency, job, step_number, tasks))
+        return ready
 
     def _place_tasks(
-        self, ready: Ready, room: PlanRoom, now: float
+        self, ready: Ready, free_capacity: PlanRoom, now: float
     ) -> t.Iterator[StartOrder]:
         step = ready.job.submission.steps[ready.step]
         advised = ready.job.submission.policy.advised
-        if not advised and not step.long_running and room.is_refused(step):
+        if not advised and not step.long_running and free_capacity.is_refused(step):
             return
         group = get_group(ready.tasks[0])
-        allowed = self._list_allowed(ready, now) if advised else None
-        candidates = room.rank(step, group, allowed)
-        waiting = False
-        for number, task in enumerate(ready.tasks):
-            if not self._admits(ready.job, step, 1, len(ready.tasks) - number, now):
+        allowed = self._list_advised_workers(ready, now) if advised else None
+        candidates = free_capacity.rank(step, group, allowed)
+        worker_reserved = False
+        for position, task in enumerate(ready.tasks):
+            if not self._fits_share(
+                ready.job, step, 1, len(ready.tasks) - position, now
+            ):
                 return
             care = task.suspicion.care
             record = candidates.choose(task.failed_on, care)
             if record is None and care is not Care.NONE:
-                # others of its step may go where it must not
-                if not waiting:
-                    self._reserve_for_suspect(room, step, group)
-                waiting = True
+                # other tasks of the step may use workers that this one must not
+                if not worker_reserved:
+                    self._reserve_worker_for_suspect(free_capacity, step, group)
+                worker_reserved = True
                 continue
             if record is None:
                 if step.long_running:
-                    self._reserve(step, group)
+                    self._reserve_worker(step, group)
                 if allowed is None:
-                    room.note_refused(step)
+                    free_capacity.note_refused(step)
                 return
             yield self._place(ready.job, step, task, record, task.run + 1, now)
 
-    def _list_allowed(self, ready: Ready, now: float) -> t.Collection[str]:
-        """List the workers that a queue's policy allows for a step, by their tickets.
+    def _list_advised_workers(self, ready: Ready, now: float) -> t.Collection[str]:
+        """List the workers for which a step has tickets of the policy service.
 
-        Without valid tickets none is allowed, and the policy service is asked.
+        If it has no valid tickets, no worker is allowed and the service is asked.
         """
         step = ready.job.submission.steps[ready.step]
         group = get_group(ready.tasks[0])
@@ -249,10 +258,11 @@
         self.book.ask(group, [record.entry.worker_id for record in fitting])
         return ()
 
-    def _reserve(self, step: Step, group: Group) -> None:
-        """Keep the worker that will first have room for a serving task or a suspect.
+    def _reserve_worker(self, step: Step, group: Group) -> None:
+        """Reserve the worker that should be the first to fit a task of a step.
 
-        Otherwise smaller tasks take each bit of room as it comes free.
+        This is for serving tasks and for tasks suspected of crashing workers. Without
+        it, smaller tasks would take all capacity as soon as it is free.
         """
         fitting = [
             record
@@ -262,25 +272,28 @@
         if fitting:
             min(fitting, key=lambda record: record.cpu_used).reserved = True
 
-    def _reserve_for_suspect(self, room: PlanRoom, step: Step, group: Group) -> None:
-        """Keep a worker on which nothing was started lately, unless half are kept.
+    def _reserve_worker_for_suspect(
+        self, free_capacity: PlanRoom, step: Step, group: Group
+    ) -> None:
+        """Reserve a worker for a suspected task, unless half of them are reserved.
 
-        A busy pool has none: each worker starts something between two reports.
+        The task needs a worker on which nothing was started recently. A busy pool has
+        none, since each worker starts something between two reports.
         """
-        kept = sum(record.reserved for record in room.records)
-        if 2 * kept < len(room.records):
-            self._reserve(step, group)
+        reserved = sum(record.reserved for record in free_capacity.records)
+        if 2 * reserved < len(free_capacity.records):
+            self._reserve_worker(step, group)
 
     def _place_gang(self, ready: Ready, now: float) -> list[StartOrder]:
         step = ready.job.submission.steps[ready.step]
         if len(ready.tasks) != step.count:
             return []
-        if not self._admits(ready.job, step, step.count, 1, now):
+        if not self._fits_share(ready.job, step, step.count, 1, now):
             return []
         chosen: list[tuple[Task, WorkerRecord]] = []
         allowed: t.Iterable[WorkerRecord] = self.workers.values()
         if ready.job.submission.policy.advised:
-            tickets = self._list_allowed(ready, now)
+            tickets = self._list_advised_workers(ready, now)
             allowed = [item for item in allowed if item.entry.worker_id in tickets]
         cares = {task.suspicion.care for task in ready.tasks}
         care = next(item for item in reversed(Care) if item in cares)
@@ -345,11 +358,11 @@
         return tickets.get(task.worker_id, "")
 
     def prepare_start(self, order: StartOrder, now: float) -> StartOrder | None:
-        """Give a stored order the deadline of its sending, if it is still wanted.
+        """Set the deadline of a stored start order just before it is sent.
 
-        :param order: the order, as it was planned.
+        :param order: the order as the scheduling pass made it.
         :param now: monotonic seconds.
-        :returns: the order to send, or ``None`` when the run is not wanted any more.
+        :returns: the order to send, or ``None`` if the run is no longer wanted.
         """
         job = self.jobs.get(order.task.job_id)
         task = job.find_task(order.task) if job else None
@@ -357,7 +370,7 @@
             return None
         record = self.workers.get(order.worker_id)
         if task.stopping or record is None or record.clock is None:
-            # it was never sent, so nothing has to be stopped
+            # the order was never sent, so there is no run to stop
             self._release(job, task)
             return None
         deadline_ms = record.clock.estimate(now) + START_WINDOW_MS
--- a/src/onyxgap/jobs/shard_jobs.py
+++ b/src/onyxgap/jobs/shard_jobs.py
@@ -1,4 +1,4 @@
-"""The jobs of a shard: taken in, cancelled, ended, stored and forgotten."""
+"""Keeps the jobs of one shard, from their arrival to the end of their retention."""
 
 import math
 import typing as t
@@ -29,30 +29,31 @@
 _LOG = structlog.get_logger()
 
 
-def is_at_work(task: Task) -> bool:
-    """Tell whether a serving task was reported at work and is to stay so."""
+def is_serving(task: Task) -> bool:
+    """Tell whether a task was reported as serving and is not being stopped."""
     return task.phase is TaskPhase.RUNNING and task.percent >= 100 and not task.stopping
 
 
 def get_group(task: Task) -> Group:
-    """Give job, occurrence and step of a task."""
+    """Return the job id, occurrence and step number of a task."""
     task_id = task.task_id
     return (task_id.job_id, task_id.occurrence, task_id.step)
 
 
 @attrs.define
 class ShardJobs:
-    """Jobs of one shard, and what its other layers share.
+    """Jobs of one shard, and the state that its subclasses share.
 
-    :param service: pool whose workers it uses.
+    :param service: pool whose workers run the tasks.
     :param epoch: fencing token of the owner.
-    :param claimed_at: monotonic seconds when the owner took it over.
-    :param room_valid_s: how long what a worker says of its capacity may be relied on;
-        without end where workers refuse what does not fit.
+    :param claimed_at: monotonic seconds when the owner claimed the shard.
+    :param room_valid_s: seconds for which the capacity that a worker reports may be
+        relied on; infinite where workers refuse tasks that don't fit.
     :param rates: tells which jobs are within their tenants' rates; ``None`` where there
         are no tenants.
-    :param run_times: learns how long tasks run; ``None`` where declared times serve.
-    :param forecast: foresees what jobs can still be to their callers.
+    :param run_times: learns how long tasks run; ``None`` where declared run times are
+        used.
+    :param forecast: predicts whether jobs can still end in time or be of use.
     """
 
     service: str
@@ -76,11 +77,13 @@
     run_times: RunTimes | None = None
     forecast: Forecast = DECLARED
     crashes: CrashLog = attrs.field(factory=CrashLog)
-    done: dict[str, list[str]] = attrs.field(factory=dict)
-    strays: dict[tuple[str, TaskId, int], StopOrder] = attrs.field(factory=dict)
+    unlogged_done: dict[str, list[str]] = attrs.field(factory=dict)
+    unexpected_runs: dict[tuple[str, TaskId, int], StopOrder] = attrs.field(
+        factory=dict
+    )
 
     def add_job(self, job: Job, now: float, wall_ms: float) -> None:
-        """Take in a job that was stored.
+        """Add a job that was stored.
 
         :param job: the job, restored or new.
         :param now: monotonic seconds.
@@ -90,7 +93,7 @@
         if job_id in self.jobs or job_id in self.final:
             return
         if job.state.final:
-            self._settle(job, job.state, now)
+            self._move_to_final(job, job.state, now)
             return
         age_s = max(0.0, (wall_ms - job.submission.accepted_ms) / MS)
         job.seen_at = now - min(age_s, now)
@@ -104,14 +107,14 @@
             self.arrived_jobs += 1
             self.arrived.append(job)
         for task in job.list_placed():
-            record = self._find_record(task.worker_id)
+            record = self._get_or_add_worker(task.worker_id)
             record.reserve(job.get_step(task), get_group(task))
             record.note_start(task.task_id, task.suspicion.care)
         if job_id in self.early_cancels:
             self.cancel(job_id)
 
     def cancel(self, job_id: str) -> None:
-        """Take in that a caller cancelled a job.
+        """Cancel a job, also one that is not known here yet.
 
         :param job_id: id of the job.
         """
@@ -134,7 +137,7 @@
         task.stopping = True
         self.stopping[task.task_id] = task
 
-    def _settle(self, job: Job, state: JobState, now: float) -> None:
+    def _move_to_final(self, job: Job, state: JobState, now: float) -> None:
         job_id = job.submission.job_id
         self.final[job_id] = JobStatus(state, job.submission.tenant)
         self.ended_at[job_id] = now
@@ -142,10 +145,10 @@
         self.book.forget_job(job_id)
 
     def mark_stored(self, job_id: str, state: JobState, now: float) -> None:
-        """Record that a job's progress is in the store.
+        """Record that a job's progress was stored.
 
         :param job_id: id of the job.
-        :param state: the state that was written.
+        :param state: the state that was stored.
         :param now: monotonic seconds.
         """
         job = self.jobs.get(job_id)
@@ -155,7 +158,7 @@
             self._log_end(job, state, now)
         job.stored_state = state
         if state.final and not any(job.list_placed()):
-            self._settle(job, state, now)
+            self._move_to_final(job, state, now)
 
     @staticmethod
     def _log_end(job: Job, state: JobState, now: float) -> None:
@@ -175,7 +178,7 @@
         )
 
     def get_status(self, job_id: str) -> JobStatus | None:
-        """Give the stored state of a job, ``None`` when it is not known here."""
+        """Return the stored state of a job, ``None`` if it is not known here."""
         if job_id in self.final:
             return self.final[job_id]
         job = self.jobs.get(job_id)
@@ -184,10 +187,10 @@
         return JobStatus(job.stored_state or JobState.QUEUED, job.submission.tenant)
 
     def knows(self, job_id: str, cancelled: bool = False) -> bool:
-        """Tell whether a job, or that it was cancelled, is known here.
+        """Tell whether a job, or its cancellation, is known here.
 
         :param job_id: id of the job.
-        :param cancelled: whether its cancelling is asked for.
+        :param cancelled: whether to ask for its cancellation, not for the job.
         """
         if job_id in self.final:
             return True
@@ -197,7 +200,7 @@
         return not cancelled or job.state.final
 
     def count_waiting(self) -> dict[str, int]:
-        """Count jobs of which nothing has started, by queue."""
+        """Count the jobs of which no task has started, by queue."""
         counts: dict[str, int] = {}
         for job in self.jobs.values():
             if not job.started and not job.state.final:
@@ -206,7 +209,7 @@
         return counts
 
     def list_expired(self, now: float, retention_s: float) -> list[str]:
-        """List jobs whose final state has been readable for long enough."""
+        """List jobs whose final state was kept for the retention period."""
         expired = []
         for job_id, ended in self.ended_at.items():
             if now - ended < retention_s:
@@ -215,14 +218,17 @@
         return expired
 
     def forget_jobs(self, job_ids: t.Iterable[str]) -> None:
-        """Drop jobs whose rows were removed."""
+        """Drop jobs whose rows were removed from the store."""
         for job_id in job_ids:
             self.final.pop(job_id, None)
             self.ended_at.pop(job_id, None)
             self.early_cancels.discard(job_id)
 
     def find_next_due(self, wall_ms: float) -> float:
-        """Give milliseconds until the next occurrence is due, or a large number."""
+        """Return the milliseconds until the next occurrence is due.
+
+        One hour if no occurrence is left to open.
+        """
         waits = [
             job.get_due_ms() - wall_ms
             for job in self.jobs.values()
@@ -230,11 +236,12 @@
         ]
         return min(waits, default=3_600_000.0)
 
-    def _find_record(self, worker_id: str) -> WorkerRecord:
+    def _get_or_add_worker(self, worker_id: str) -> WorkerRecord:
         record = self.workers.get(worker_id)
         if record is None:
-            # a run may be on a worker that is no longer registered; if it crashed,
-            # its run counts, which that of one that had drained would not
+            # A run may be on a worker that is no longer registered. If that worker
+            # crashed, the crash counts against the run, which it would not do for a
+            # draining worker: hence the state READY.
             entry = WorkerEntry(
                 worker_id, self.service, "", "", WorkerState.READY, 0, 0, 0, (), 0
             )
@@ -250,6 +257,8 @@
         task.release()
         self.dirty.add(job.submission.job_id)
 
-    def _order_stop(self, record: WorkerRecord, task: TaskId, run: int) -> StopOrder:
+    def _build_stop_order(
+        self, record: WorkerRecord, task: TaskId, run: int
+    ) -> StopOrder:
         entry = record.entry
         return StopOrder(entry.worker_id, entry.address, task, run, self.epoch)
--- a/src/onyxgap/jobs/shard_reports.py
+++ b/src/onyxgap/jobs/shard_reports.py
@@ -1,4 +1,4 @@
-"""What workers report and reply, taken into a shard."""
+"""Applies the reports and replies of workers to the state of a shard."""
 
 import typing as t
 
@@ -33,15 +33,18 @@
 from .workers import StartOrder
 from .workers import WorkerClock
 
-STRIKES = 2
-"""First failures without a success between them that block a worker; one alone is
-mostly the fault of its job."""
-STRIKE_BLOCK_S = 4.0
-"""Workers that fail what they start did so for 6 s in the site's examples."""
+FAILURES_TO_BLOCK = 2
+"""First-attempt task failures on a worker, without a success in between, after which it
+is blocked. A single one is mostly the fault of its job."""
+FAILURE_BLOCK_S = 4.0
+"""How long such a worker gets no new tasks. In the site's examples, workers that fail
+what they start did so for 6 s."""
 REFUSAL_BLOCK_S = 0.3
-"""A refusing worker is asked again about as often as it reports."""
+"""How long a worker that refused a start gets no new tasks: it is tried again about as
+often as it reports."""
 RETRY_PAUSE_S = 0.05
-"""A failed task waits for the reports of other workers before it is placed again."""
+"""Delay before a failed task or refused start is placed again, so that other workers
+can report first."""
 
 _LOG = structlog.get_logger()
 
@@ -50,23 +53,23 @@
 
 @attrs.define
 class ShardReports(ShardWorkers):
-    """Reports and replies of one shard's workers."""
+    """Applies the reports and replies of one shard's workers."""
 
     def apply_report(
         self, worker_id: str, report: HoldReport, sent_at: float, now: float
     ) -> None:
-        """Take in what a worker runs and what has ended there.
+        """Apply a worker's report of its running and ended runs.
 
         :param worker_id: the worker.
-        :param report: its lists.
-        :param sent_at: monotonic seconds when the hold was sent.
+        :param report: the report.
+        :param sent_at: monotonic seconds when the hold request was sent.
         :param now: monotonic seconds.
         """
         record = self.workers.get(worker_id)
         if record is None:
             return
         if self._take_life(record, report.born, now) is not LifeSign.SAME:
-            # a later life is asked again, as one of which nothing is known
+            # a newer incarnation starts with an empty record and is asked again
             return
         if record.clock is None:
             record.clock = WorkerClock(report.clock_ms, now)
@@ -78,13 +81,13 @@
             if end.sequence > record.seen:
                 record.seen = end.sequence
                 if self._apply_end(record, end, now) and end.kind is EndKind.DONE:
-                    self.done.setdefault(worker_id, []).append(str(end.task))
+                    self.unlogged_done.setdefault(worker_id, []).append(str(end.task))
         listed = {(item.task, item.run) for item in report.running}
         ended = {(item.task, item.run) for item in report.ended}
         for item in report.running:
             self._apply_running(record, item, report.clock_ms, now)
-        self._judge_pace(record, report, now)
-        self._find_missing(record, listed | ended, sent_at)
+        self._check_worker_speed(record, report, now)
+        self._release_missing_runs(record, listed | ended, sent_at)
 
     def _apply_running(
         self, record: WorkerRecord, item: RunningTask, clock_ms: float, now: float
@@ -99,27 +102,29 @@
             or (task.run, task.worker_id) != (item.run, worker_id)
         ):
             key = (worker_id, item.task, item.run)
-            if key not in self.strays:
+            if key not in self.unexpected_runs:
                 _LOG.info(
-                    "stop of an unexpected run",
+                    "stopping unexpected run",
                     task=str(item.task),
                     run=item.run,
                     worker=worker_id,
                     service=self.service,
                 )
-            self.strays[key] = self._order_stop(record, item.task, item.run)
+            self.unexpected_runs[key] = self._build_stop_order(
+                record, item.task, item.run
+            )
             return
         job.started = True
         task.list_again(now, clock_ms)
-        self._note_proof(record, task)
-        self._note_progress(job, task, item, now)
+        self._update_crash_windows(record, task)
+        self._record_progress(job, task, item, now)
         task.percent = item.percent
         task.figure = item.figure
         if item.checkpoint:
             task.checkpoint = item.checkpoint
 
     @staticmethod
-    def _note_proof(record: WorkerRecord, task: Task) -> None:
+    def _update_crash_windows(record: WorkerRecord, task: Task) -> None:
         if task.task_id in record.unproved and task.listed_ms >= PROOF_MS:
             record.prove(task.task_id, task.suspicion.care)
         if task.task_id in record.unsettled and task.listed_ms >= SETTLED_MS:
@@ -127,7 +132,7 @@
             record.settle(task.task_id)
 
     @staticmethod
-    def _note_progress(job: Job, task: Task, item: RunningTask, now: float) -> None:
+    def _record_progress(job: Job, task: Task, item: RunningTask, now: float) -> None:
         step = job.get_step(task)
         if step.long_running or step.gang:
             return
@@ -137,12 +142,14 @@
         else:
             task.progress.observe(item.percent, step.estimate_ms, now)
 
-    def _judge_pace(self, record: WorkerRecord, report: HoldReport, now: float) -> None:
-        """Find out whether a worker stands still; its tasks are then moved."""
-        judged = list(self._list_judged(report))
-        speeds = [progress.speed or 0.0 for _, _, progress in judged]
+    def _check_worker_speed(
+        self, record: WorkerRecord, report: HoldReport, now: float
+    ) -> None:
+        """Check whether a worker is slow or stalled; if so, its tasks are moved."""
+        measured = list(self._list_measured_runs(report))
+        speeds = [progress.speed or 0.0 for _, _, progress in measured]
         compared = [
-            measure_ratio(task, job.list_siblings(task)) for job, task, _ in judged
+            measure_ratio(task, job.list_siblings(task)) for job, task, _ in measured
         ]
         ratios = [ratio for ratio in compared if ratio is not None]
         pace = judge_pace(speeds, ratios)
@@ -153,7 +160,7 @@
         if now >= record.blocked_until:
             record.blocked_until = now + choose_block(record.findings)
             record.findings += 1
-        record.leaving = [task for _, task, _ in judged if task.moves < MOST_MOVES]
+        record.leaving = [task for _, task, _ in measured if task.moves < MOST_MOVES]
         _LOG.info(
             "worker slow",
             worker=record.entry.worker_id,
@@ -164,7 +171,7 @@
             moving=len(record.leaving),
         )
 
-    def _list_judged(
+    def _list_measured_runs(
         self, report: HoldReport
     ) -> t.Iterator[tuple[Job, Task, Progress]]:
         """Yield the runs of a report whose speed is known."""
@@ -177,17 +184,17 @@
                 yield job, task, task.progress
 
     def _apply_end(self, record: WorkerRecord, end: EndedTask, now: float) -> bool:
-        """Take in an end; returns whether it was that of a current run."""
+        """Apply the end of a run; return whether it was the task's current run."""
         worker_id = record.entry.worker_id
-        self.strays.pop((worker_id, end.task, end.run), None)
+        self.unexpected_runs.pop((worker_id, end.task, end.run), None)
         job = self.jobs.get(end.task.job_id)
         task = job.find_task(end.task) if job else None
         if job is None or task is None or not task.placed:
             return False
         if (task.run, task.worker_id) != (end.run, worker_id):
             return False
-        self._judge_worker(record, task, end.kind, now)
-        self._note_run_time(job, task, end.kind, now)
+        self._update_failure_count(record, task, end.kind, now)
+        self._record_run_time(job, task, end.kind, now)
         if end.kind is not EndKind.DONE:
             _LOG.info(
                 "task ended",
@@ -199,14 +206,14 @@
                 failures=task.failures,
             )
         step = job.get_step(task)
-        members = self._list_members(job, task)
+        members = self._list_gang_members(job, task)
         for member in members:
-            holder = self.workers.get(member.worker_id)
-            if not member.placed or holder is None:
+            member_worker = self.workers.get(member.worker_id)
+            if not member.placed or member_worker is None:
                 continue
             if end.kind is EndKind.DONE or member is task:
-                holder.free(step, get_group(member))
-                holder.settle(member.task_id)
+                member_worker.free(step, get_group(member))
+                member_worker.settle(member.task_id)
         if job.state.final:
             task.release()
         else:
@@ -221,11 +228,12 @@
             self.dirty.add(end.task.job_id)
         return True
 
-    def _note_run_time(self, job: Job, task: Task, kind: EndKind, now: float) -> None:
+    def _record_run_time(self, job: Job, task: Task, kind: EndKind, now: float) -> None:
         step = job.get_step(task)
-        whole = kind is EndKind.DONE and not step.long_running and not step.gang
-        # what resumed, or was started by an earlier owner, did not run in full here
-        if self.run_times is None or not whole or task.checkpoint:
+        measurable = kind is EndKind.DONE and not step.long_running and not step.gang
+        # A run that resumed from a checkpoint, or that a previous owner started, did
+        # not run in full under this owner.
+        if self.run_times is None or not measurable or task.checkpoint:
             return
         if task.started_at:
             took_ms = (now - task.started_at) * MS
@@ -233,34 +241,34 @@
             self.run_times.note_end(queue, step.estimate_ms, took_ms)
 
     @staticmethod
-    def _list_members(job: Job, task: Task) -> list[Task]:
+    def _list_gang_members(job: Job, task: Task) -> list[Task]:
         return job.list_siblings(task) if job.get_step(task).gang else [task]
 
-    def _judge_worker(
+    def _update_failure_count(
         self, record: WorkerRecord, task: Task, kind: EndKind, now: float
     ) -> None:
         if kind is EndKind.DONE:
             record.strikes = 0
         elif kind is EndKind.FAILED and not task.failures:
             record.strikes += 1
-            if record.strikes >= STRIKES:
-                record.blocked_until = now + STRIKE_BLOCK_S
+            if record.strikes >= FAILURES_TO_BLOCK:
+                record.blocked_until = now + FAILURE_BLOCK_S
                 _LOG.info(
                     "worker blocked",
                     worker=record.entry.worker_id,
                     service=self.service,
                     strikes=record.strikes,
-                    for_s=STRIKE_BLOCK_S,
+                    for_s=FAILURE_BLOCK_S,
                 )
 
-    def _find_missing(
+    def _release_missing_runs(
         self,
         record: WorkerRecord,
         listed: set[tuple[TaskId, int]],
         sent_at: float,
     ) -> None:
         assert record.clock is not None
-        clock_low = record.clock.bound_low(sent_at)
+        min_clock_ms = record.clock.bound_low(sent_at)
         for group in list(record.present):
             job = self.jobs.get(group[0])
             if job is None:
@@ -271,9 +279,9 @@
                     continue
                 if (task.task_id, task.run) in listed:
                     continue
-                if self._is_surely_absent(task, sent_at, clock_low):
+                if self._is_surely_absent(task, sent_at, min_clock_ms):
                     _LOG.info(
-                        "run is not there",
+                        "run missing on its worker",
                         task=str(task.task_id),
                         run=task.run,
                         worker=record.entry.worker_id,
@@ -281,46 +289,49 @@
                     )
                     self._release(job, task)
 
-    def _is_surely_absent(self, task: Task, sent_at: float, clock_low: float) -> bool:
+    def _is_surely_absent(
+        self, task: Task, sent_at: float, min_clock_ms: float
+    ) -> bool:
         if task.barred_at is not None:
             return sent_at > task.barred_at
         if task.confirmed_at is not None:
             return sent_at > task.confirmed_at
         if task.started_at == 0.0:
-            # an earlier owner's order: the hold under our epoch fenced it off
+            # a previous owner's order, fenced off by the hold request with our epoch
             return True
         if not task.sent:
-            # its intent is still being stored; a slow store takes longer than a report
+            # The intent is still being stored, and a slow store takes longer than a
+            # report.
             return False
-        return clock_low > task.start_deadline_ms
+        return min_clock_ms > task.start_deadline_ms
 
-    def log_done(self) -> None:
-        """Log what has ended as done since the last time, in one line.
+    def log_done_tasks(self) -> None:
+        """Log the tasks that were done since the last call, in one line.
 
-        A line for each report would be most of the log of a busy owner.
+        One line per report would make up most of the log of a busy owner.
         """
-        if not self.done:
+        if not self.unlogged_done:
             return
         _LOG.info(
             "tasks done",
             service=self.service,
-            workers=list(self.done),
-            tasks=[task for tasks in self.done.values() for task in tasks],
+            workers=list(self.unlogged_done),
+            tasks=[task for tasks in self.unlogged_done.values() for task in tasks],
         )
-        self.done.clear()
+        self.unlogged_done.clear()
 
     def apply_failure(self, worker_id: str, reply: Reply, now: float) -> None:
-        """Take in that a hold got no report.
+        """Handle a hold request that got no report.
 
         :param worker_id: the worker.
-        :param reply: what came instead.
+        :param reply: the outcome of the request.
         :param now: monotonic seconds.
         """
         record = self.workers.get(worker_id)
         if record is None:
             return
         if reply.kind is ReplyKind.OTHER_LIFE:
-            self.end_worker(worker_id, "another life at its address", now)
+            self.end_worker(worker_id, "another incarnation at its address", now)
             return
         if record.failing_since is None:
             record.failing_since = now
@@ -335,10 +346,10 @@
             )
 
     def apply_start_reply(self, order: StartOrder, reply: Reply, now: float) -> None:
-        """Take in what became of an order to start.
+        """Apply the reply to a start order.
 
         :param order: the order.
-        :param reply: the worker's reply.
+        :param reply: the worker's reply, or why there is none.
         :param now: monotonic seconds.
         """
         job = self.jobs.get(order.task.job_id)
@@ -356,7 +367,7 @@
             task.confirm(now, reply.clock_ms)
             return
         _LOG.info(
-            "start not done",
+            "start not confirmed",
             task=str(order.task),
             run=order.run,
             worker=order.worker_id,
--- a/src/onyxgap/jobs/shard_stops.py
+++ b/src/onyxgap/jobs/shard_stops.py
@@ -1,4 +1,4 @@
-"""What a shard stops: orders without effect, stragglers, serving tasks that move."""
+"""Stops runs: of cancelled jobs, on slow workers and on cordoned ones."""
 
 import typing as t
 
@@ -9,22 +9,23 @@
 from .messages import Step
 from .placing import choose_worker
 from .shard_jobs import get_group
-from .shard_jobs import is_at_work
+from .shard_jobs import is_serving
 from .shard_reports import ShardReports
 from .workers import StopOrder
 
 STOP_RESEND_S = 0.5
-"""A run stops within 0.2 to 0.4 s; an order without effect by then was lost."""
+"""Interval at which a stop order is repeated. A run stops within 0.2 to 0.4 s, so an
+order that had no effect by then was lost."""
 
 _LOG = structlog.get_logger()
 
 
 @attrs.define
 class ShardStops(ShardReports):
-    """Stops of one shard's runs."""
+    """Chooses the runs of one shard that are to be stopped."""
 
     def list_stops(self, now: float) -> list[StopOrder]:
-        """List the orders to stop that are due, again where no end came."""
+        """List the stop orders that are due, repeated where the run has not ended."""
         orders = []
         for task_id, task in list(self.stopping.items()):
             if not task.placed or not task.stopping:
@@ -35,13 +36,13 @@
             record = self.workers.get(task.worker_id)
             if record is not None and record.registered:
                 task.stop_sent_at = now
-                orders.append(self._order_stop(record, task_id, task.run))
-        orders += self.strays.values()
-        self.strays.clear()
+                orders.append(self._build_stop_order(record, task_id, task.run))
+        orders += self.unexpected_runs.values()
+        self.unexpected_runs.clear()
         return orders
 
     def move_stragglers(self, now: float) -> None:
-        """Mark tasks on workers that stand still to be stopped, if others have room.
+        """Mark tasks of slow or stalled workers for stopping if others have capacity.
 
         :param now: monotonic seconds.
         """
@@ -66,8 +67,10 @@
                     percent=task.percent,
                 )
 
-    def evict_serving(self, now: float) -> None:
-        """Mark serving tasks on cordoned workers to be stopped, within budget.
+    def evict_serving_tasks(self, now: float) -> None:
+        """Mark serving tasks on cordoned workers for stopping.
+
+        Stops no more once ``max(1, may_miss)`` tasks of a step are away.
 
         :param now: monotonic seconds.
         """
@@ -76,19 +79,21 @@
             return
         for job in self.jobs.values():
             for occurrence in job.occurrences.values():
-                for number, step in enumerate(job.submission.steps):
+                for step_number, step in enumerate(job.submission.steps):
                     if step.long_running:
-                        self._evict_step(step, occurrence.steps[number], cordoned, now)
+                        self._evict_step(
+                            step, occurrence.steps[step_number], cordoned, now
+                        )
 
     def _evict_step(
         self, step: Step, tasks: t.Sequence[Task], cordoned: set[str], now: float
     ) -> None:
         budget = max(1, step.may_miss)
-        away = sum(not is_at_work(task) for task in tasks)
+        away = sum(not is_serving(task) for task in tasks)
         for task in tasks:
             if away >= budget:
                 return
-            if task.worker_id not in cordoned or not is_at_work(task):
+            if task.worker_id not in cordoned or not is_serving(task):
                 continue
             if choose_worker(self.workers.values(), step, get_group(task), now) is None:
                 return
