--- a/tests/test_lost_runs.py
+++ b/tests/test_lost_runs.py
@@ -1,4 +1,4 @@
-"""What the log tells of the runs that were lost with a worker."""
+"""The log line that lists the runs that were lost with a worker."""
 
 import pytest
 import structlog.testing
@@ -9,24 +9,24 @@
 
 
 @pytest.fixture
-def bench() -> Bench:
-    made = Bench(Shard("s", epoch=3, claimed_at=50.0))
-    made.add_worker("w1")
-    return made
+def harness() -> Bench:
+    harness = Bench(Shard("s", epoch=3, claimed_at=50.0))
+    harness.add_worker("w1")
+    return harness
 
 
-def test_lost_runs_are_named_with_how_long_they_were_listed(bench: Bench) -> None:
-    bench.add_job(Step(1, cpu=1000), job_id="a" * 16)
-    (old,) = bench.start_all()
-    bench.report("w1")
-    bench.now += 0.4
-    bench.report("w1")
-    bench.add_job(Step(1, cpu=1000), job_id="b" * 16)
-    (young,) = bench.start_all()
-    bench.add_job(Step(1, cpu=1000), job_id="c" * 16)
-    (unsent,) = bench.plan()
+def test_lost_runs_are_logged_with_the_time_they_were_listed(harness: Bench) -> None:
+    harness.add_job(Step(1, cpu=1000), job_id="a" * 16)
+    (old,) = harness.start_all()
+    harness.report("w1")
+    harness.now += 0.4
+    harness.report("w1")
+    harness.add_job(Step(1, cpu=1000), job_id="b" * 16)
+    (young,) = harness.start_all()
+    harness.add_job(Step(1, cpu=1000), job_id="c" * 16)
+    (unsent,) = harness.plan()
     with structlog.testing.capture_logs() as lines:
-        bench.shard.end_worker("w1", "its VM is down", bench.now)
+        harness.shard.end_worker("w1", "its VM is down", harness.now)
     (line,) = [line for line in lines if line["event"] == "runs lost"]
     assert (line["worker"], line["epoch"]) == ("w1", 3)
     assert line["runs"] == [
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -1,4 +1,4 @@
-"""The shard's decisions: placing, ends, leases, cancels, evictions."""
+"""Placement, ends of runs, leases, cancellation and eviction in one shard."""
 
 import typing as t
 
@@ -40,7 +40,7 @@
 
 @attrs.define
 class Bench:
-    """A shard with workers that answer, and a clock."""
+    """A shard with a manual clock, and workers that report what it started there."""
 
     shard: Shard
     now: float = 100.0
@@ -62,24 +62,24 @@
     def start_all(self) -> list[StartOrder]:
         orders = self.plan()
         for order in orders:
-            ready = self.shard.prepare_start(order, self.now)
-            assert ready is not None
-            self.shard.apply_start_reply(ready, Reply(ReplyKind.DONE), self.now)
+            prepared = self.shard.prepare_start(order, self.now)
+            assert prepared is not None
+            self.shard.apply_start_reply(prepared, Reply(ReplyKind.DONE), self.now)
         return orders
 
     def report(self, worker_id: str, *ends: tuple[StartOrder, EndKind]) -> None:
         ended = []
         for order, kind in ends:
-            number = self.numbers.get(worker_id, 0) + 1
-            self.numbers[worker_id] = number
-            ended.append(EndedTask(number, order.task, order.run, kind, ""))
-        gone = {order.task for order, _ in ends}
+            sequence = self.numbers.get(worker_id, 0) + 1
+            self.numbers[worker_id] = sequence
+            ended.append(EndedTask(sequence, order.task, order.run, kind, ""))
+        ended_tasks = {order.task for order, _ in ends}
         running = tuple(
             RunningTask(task.task_id, task.run, "", 100)
             for job in self.shard.jobs.values()
             for task in job.list_placed()
             if task.worker_id == worker_id
-            and task.task_id not in gone
+            and task.task_id not in ended_tasks
             and task.confirmed_at is not None
         )
         self.now += 0.01
@@ -89,285 +89,288 @@
 
 
 @pytest.fixture
-def bench() -> Bench:
+def harness() -> Bench:
     return Bench(Shard("s", epoch=3, claimed_at=50.0))
 
 
-def test_nothing_is_placed_before_the_first_report(bench: Bench) -> None:
-    bench.shard.observe_worker(ENTRY, bench.now)
-    bench.add_job(Step(1, cpu=1000))
-    assert bench.plan() == []
-    bench.report("w1")
-    assert len(bench.plan()) == 1
+def test_nothing_is_placed_before_the_first_report(harness: Bench) -> None:
+    harness.shard.observe_worker(ENTRY, harness.now)
+    harness.add_job(Step(1, cpu=1000))
+    assert harness.plan() == []
+    harness.report("w1")
+    assert len(harness.plan()) == 1
 
 
-def test_later_step_waits_for_every_task_of_the_earlier(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.add_job(Step(2, cpu=1000), Step(1, cpu=1000, after=(0,)))
-    first, second = bench.start_all()
-    bench.report("w1", (first, EndKind.DONE))
-    assert bench.plan() == []
-    bench.report("w1", (second, EndKind.DONE))
-    assert [order.task.step for order in bench.plan()] == [1]
+def test_later_step_waits_for_every_task_of_an_earlier_one(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.add_job(Step(2, cpu=1000), Step(1, cpu=1000, after=(0,)))
+    first, second = harness.start_all()
+    harness.report("w1", (first, EndKind.DONE))
+    assert harness.plan() == []
+    harness.report("w1", (second, EndKind.DONE))
+    assert [order.task.step for order in harness.plan()] == [1]
 
 
-def test_room_is_free_only_once_the_end_is_listed(bench: Bench) -> None:
-    bench.add_worker("w1", cpu=2000)
-    bench.add_job(Step(2, cpu=2000))
-    (first,) = bench.start_all()
-    assert bench.plan() == []
-    bench.report("w1", (first, EndKind.DONE))
-    assert len(bench.plan()) == 1
+def test_capacity_is_free_only_once_the_end_is_reported(harness: Bench) -> None:
+    harness.add_worker("w1", cpu=2000)
+    harness.add_job(Step(2, cpu=2000))
+    (first,) = harness.start_all()
+    assert harness.plan() == []
+    harness.report("w1", (first, EndKind.DONE))
+    assert len(harness.plan()) == 1
 
 
-def test_failed_task_goes_elsewhere_and_ends_the_job_at_its_limit(
-    bench: Bench,
+def test_failed_task_is_retried_elsewhere_until_max_attempts(
+    harness: Bench,
 ) -> None:
-    bench.add_worker("w1")
-    bench.add_worker("w2")
-    job = bench.add_job(Step(1, cpu=1000))
-    (first,) = bench.start_all()
-    bench.report(first.worker_id, (first, EndKind.FAILED))
-    bench.now += 1
-    (second,) = bench.start_all()
+    harness.add_worker("w1")
+    harness.add_worker("w2")
+    job = harness.add_job(Step(1, cpu=1000))
+    (first,) = harness.start_all()
+    harness.report(first.worker_id, (first, EndKind.FAILED))
+    harness.now += 1
+    (second,) = harness.start_all()
     assert second.worker_id != first.worker_id
     assert second.run == first.run + 1
-    bench.report(second.worker_id, (second, EndKind.FAILED))
+    harness.report(second.worker_id, (second, EndKind.FAILED))
     assert job.state is JobState.FAILED
-    assert bench.plan() == []
+    assert harness.plan() == []
 
 
-def test_order_without_answer_is_settled_by_its_deadline(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.add_job(Step(1, cpu=1000))
-    (order,) = bench.plan()
-    ready = bench.shard.prepare_start(order, bench.now)
-    assert ready is not None
+def test_unanswered_start_is_retried_after_its_deadline(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.add_job(Step(1, cpu=1000))
+    (order,) = harness.plan()
+    prepared = harness.shard.prepare_start(order, harness.now)
+    assert prepared is not None
     lost = Reply(ReplyKind.NO_ANSWER)
-    bench.shard.apply_start_reply(ready, lost, bench.now)
-    bench.report("w1")
-    assert bench.plan() == []
-    bench.now += START_WINDOW_MS / 1000 * 1.05
-    bench.report("w1")
-    (again,) = bench.plan()
+    harness.shard.apply_start_reply(prepared, lost, harness.now)
+    harness.report("w1")
+    assert harness.plan() == []
+    harness.now += START_WINDOW_MS / 1000 * 1.05
+    harness.report("w1")
+    (again,) = harness.plan()
     assert again.run == order.run + 1
 
 
-def test_run_of_an_earlier_owner_is_taken_over_if_it_is_listed(bench: Bench) -> None:
+def test_run_of_a_previous_owner_is_adopted_if_it_is_reported(harness: Bench) -> None:
     job = Job(Submission("b" * 16, POLICY, "spec", (Step(2, cpu=1000),)))
     job.open_due(WALL_MS)
     job.state = JobState.RUNNING
     for task in job.occurrences[0].steps[0]:
         task.place("w1", 0.0, 0.0, 4)
     restored = restore_job(job.submission, encode_progress(job))
-    bench.shard.add_job(restored, bench.now, WALL_MS)
-    bench.shard.observe_worker(ENTRY, bench.now)
+    harness.shard.add_job(restored, harness.now, WALL_MS)
+    harness.shard.observe_worker(ENTRY, harness.now)
     there, absent = restored.occurrences[0].steps[0]
     running = (RunningTask(there.task_id, 4, "", 10),)
     report = HoldReport(2000.0, running, ())
-    bench.shard.apply_report("w1", report, bench.now, bench.now)
+    harness.shard.apply_report("w1", report, harness.now, harness.now)
     assert there.phase is TaskPhase.RUNNING
     assert absent.phase is TaskPhase.WAITING
-    (order,) = bench.plan()
+    (order,) = harness.plan()
     assert (order.task, order.run) == (absent.task_id, 5)
 
 
-def test_silent_worker_keeps_its_runs_until_the_lease_is_over(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.add_worker("w2")
-    bench.add_job(Step(1, cpu=1000))
-    (order,) = bench.start_all()
-    record = bench.shard.workers[order.worker_id]
+def test_silent_worker_keeps_its_runs_until_the_lease_expires(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.add_worker("w2")
+    harness.add_job(Step(1, cpu=1000))
+    (order,) = harness.start_all()
+    record = harness.shard.workers[order.worker_id]
     assert record.clock is not None
-    record.lease_ms = record.clock.estimate(bench.now) + 5000
+    record.lease_ms = record.clock.estimate(harness.now) + 5000
     silent = Reply(ReplyKind.NO_ANSWER)
-    bench.shard.apply_failure(order.worker_id, silent, bench.now)
-    bench.now += 5.0
-    bench.shard.expire_workers(bench.now)
-    assert bench.plan() == []
-    # the worker's clock may be 2% slow
-    bench.now += 0.11
-    bench.shard.expire_workers(bench.now)
-    (again,) = bench.plan()
+    harness.shard.apply_failure(order.worker_id, silent, harness.now)
+    harness.now += 5.0
+    harness.shard.expire_workers(harness.now)
+    assert harness.plan() == []
+    # the worker's clock may be 2 % slow
+    harness.now += 0.11
+    harness.shard.expire_workers(harness.now)
+    (again,) = harness.plan()
     assert again.worker_id != order.worker_id
 
 
-def test_worker_of_a_dead_vm_is_ended_at_once(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.add_worker("w2")
-    bench.add_job(Step(1, cpu=1000))
-    (order,) = bench.start_all()
+def test_worker_of_a_dead_vm_is_ended_at_once(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.add_worker("w2")
+    harness.add_job(Step(1, cpu=1000))
+    (order,) = harness.start_all()
     silent = Reply(ReplyKind.NO_ANSWER)
-    bench.shard.apply_failure(order.worker_id, silent, bench.now)
+    harness.shard.apply_failure(order.worker_id, silent, harness.now)
     alive = {"w1", "w2"}
-    bench.shard.apply_live_workers(alive, bench.now + 0.1)
-    assert bench.plan() == []
-    bench.shard.apply_live_workers(alive - {order.worker_id}, bench.now + 0.1)
-    (again,) = bench.plan()
+    harness.shard.apply_live_workers(alive, harness.now + 0.1)
+    assert harness.plan() == []
+    harness.shard.apply_live_workers(alive - {order.worker_id}, harness.now + 0.1)
+    (again,) = harness.plan()
     assert again.worker_id != order.worker_id
 
 
-def test_list_asked_for_before_the_silence_says_nothing(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.shard.apply_failure("w1", Reply(ReplyKind.NO_ANSWER), bench.now)
-    bench.shard.apply_live_workers(set(), bench.now - 0.1)
-    assert "w1" in bench.shard.workers
+def test_vm_list_requested_before_the_silence_is_ignored(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.shard.apply_failure("w1", Reply(ReplyKind.NO_ANSWER), harness.now)
+    harness.shard.apply_live_workers(set(), harness.now - 0.1)
+    assert "w1" in harness.shard.workers
 
 
-def test_cancel_stops_what_runs_and_starts_nothing(bench: Bench) -> None:
-    bench.add_worker("w1")
-    job = bench.add_job(Step(2, cpu=40_000))
-    (order,) = bench.start_all()
-    bench.shard.cancel(job.submission.job_id)
-    assert bench.plan() == []
-    (stop,) = bench.shard.list_stops(bench.now)
+def test_cancel_stops_running_tasks_and_starts_none(harness: Bench) -> None:
+    harness.add_worker("w1")
+    job = harness.add_job(Step(2, cpu=40_000))
+    (order,) = harness.start_all()
+    harness.shard.cancel(job.submission.job_id)
+    assert harness.plan() == []
+    (stop,) = harness.shard.list_stops(harness.now)
     assert (stop.task, stop.run) == (order.task, order.run)
-    assert bench.shard.list_stops(bench.now + 0.1) == []
-    assert len(bench.shard.list_stops(bench.now + 1)) == 1
+    assert harness.shard.list_stops(harness.now + 0.1) == []
+    assert len(harness.shard.list_stops(harness.now + 1)) == 1
 
 
-def test_cancel_before_the_job_is_seen_counts(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.shard.cancel("a" * 16)
-    job = bench.add_job(Step(1, cpu=1000))
+def test_cancel_before_the_job_arrives_takes_effect(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.shard.cancel("a" * 16)
+    job = harness.add_job(Step(1, cpu=1000))
     assert job.state is JobState.CANCELLED
-    assert bench.plan() == []
+    assert harness.plan() == []
 
 
-def test_order_of_a_job_cancelled_meanwhile_is_not_sent(bench: Bench) -> None:
-    bench.add_worker("w1")
-    job = bench.add_job(Step(1, cpu=1000))
-    (order,) = bench.plan()
-    bench.shard.cancel(job.submission.job_id)
-    assert bench.shard.prepare_start(order, bench.now) is None
-    assert not bench.shard.workers["w1"].present
+def test_start_order_of_a_cancelled_job_is_not_sent(harness: Bench) -> None:
+    harness.add_worker("w1")
+    job = harness.add_job(Step(1, cpu=1000))
+    (order,) = harness.plan()
+    harness.shard.cancel(job.submission.job_id)
+    assert harness.shard.prepare_start(order, harness.now) is None
+    assert not harness.shard.workers["w1"].present
 
 
-def test_run_that_is_not_expected_is_stopped(bench: Bench) -> None:
-    bench.add_worker("w1")
-    job = bench.add_job(Step(1, cpu=1000))
+def test_unexpected_run_is_stopped(harness: Bench) -> None:
+    harness.add_worker("w1")
+    job = harness.add_job(Step(1, cpu=1000))
     task = job.occurrences or None
     assert task is None
-    (order,) = bench.plan()
+    (order,) = harness.plan()
     running = (RunningTask(order.task, order.run + 7, "", 10),)
-    bench.shard.apply_report("w1", HoldReport(9e3, running, ()), bench.now, bench.now)
-    (stop,) = bench.shard.list_stops(bench.now)
+    harness.shard.apply_report(
+        "w1", HoldReport(9e3, running, ()), harness.now, harness.now
+    )
+    (stop,) = harness.shard.list_stops(harness.now)
     assert stop.run == order.run + 7
 
 
-def test_serving_tasks_leave_a_cordoned_worker_one_at_a_time(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.add_job(Step(3, cpu=1000, long_running=True, may_miss=1))
-    orders = bench.start_all()
-    bench.report("w1")
-    bench.add_worker("w2")
-    bench.shard.set_cordons({"w1": "upkeep#1"})
-    assert bench.plan() == []
-    (stop,) = bench.shard.list_stops(bench.now)
-    bench.plan()
-    assert bench.shard.list_stops(bench.now) == []
+def test_serving_tasks_leave_a_cordoned_worker_one_at_a_time(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.add_job(Step(3, cpu=1000, long_running=True, may_miss=1))
+    orders = harness.start_all()
+    harness.report("w1")
+    harness.add_worker("w2")
+    harness.shard.set_cordons({"w1": "upkeep#1"})
+    assert harness.plan() == []
+    (stop,) = harness.shard.list_stops(harness.now)
+    harness.plan()
+    assert harness.shard.list_stops(harness.now) == []
     stopped = next(order for order in orders if order.task == stop.task)
-    bench.report("w1", (stopped, EndKind.STOPPED))
-    (moved,) = bench.start_all()
+    harness.report("w1", (stopped, EndKind.STOPPED))
+    (moved,) = harness.start_all()
     assert moved.worker_id == "w2"
-    assert bench.shard.list_stops(bench.now) == []
-    bench.report("w2")
-    bench.plan()
-    assert len(bench.shard.list_stops(bench.now)) == 1
+    assert harness.shard.list_stops(harness.now) == []
+    harness.report("w2")
+    harness.plan()
+    assert len(harness.shard.list_stops(harness.now)) == 1
 
 
-def test_cordoned_worker_is_reported_empty_under_its_cordon(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.shard.set_cordons({"w1": "move#4"})
-    assert bench.shard.build_report(bench.now).emptied == {"w1": "move#4"}
-    bench.shard.set_cordons({})
-    bench.add_job(Step(1, cpu=1000))
-    bench.start_all()
-    bench.shard.set_cordons({"w1": "move#5"})
-    assert bench.shard.build_report(bench.now).emptied == {}
+def test_cordoned_worker_is_reported_empty_under_its_cordon(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.shard.set_cordons({"w1": "move#4"})
+    assert harness.shard.build_report(harness.now).emptied == {"w1": "move#4"}
+    harness.shard.set_cordons({})
+    harness.add_job(Step(1, cpu=1000))
+    harness.start_all()
+    harness.shard.set_cordons({"w1": "move#5"})
+    assert harness.shard.build_report(harness.now).emptied == {}
 
 
-def test_small_tasks_do_not_take_the_room_a_serving_task_waits_for(
-    bench: Bench,
+def test_small_tasks_do_not_starve_a_large_serving_task(
+    harness: Bench,
 ) -> None:
-    bench.add_worker("w1", cpu=10_000)
+    harness.add_worker("w1", cpu=10_000)
     small = [
-        bench.add_job(Step(1, cpu=2000), job_id=f"{number:016x}") for number in range(9)
+        harness.add_job(Step(1, cpu=2000), job_id=f"{number:016x}")
+        for number in range(9)
     ]
-    orders = bench.start_all()
+    orders = harness.start_all()
     assert len(orders) == 5 < len(small)
-    bench.add_job(Step(1, cpu=8000, long_running=True), job_id="f" * 16)
+    harness.add_job(Step(1, cpu=8000, long_running=True), job_id="f" * 16)
     for number, order in enumerate(orders[:4]):
-        bench.report("w1", (order, EndKind.DONE))
-        placed = bench.plan()
+        harness.report("w1", (order, EndKind.DONE))
+        placed = harness.plan()
         if number < 3:
             assert placed == []
         else:
             assert [order.task.job_id for order in placed] == ["f" * 16]
 
 
-def test_gang_starts_whole_or_not_at_all(bench: Bench) -> None:
-    bench.add_worker("w1", cpu=2000)
-    bench.add_job(Step(3, cpu=1000, gang=True))
-    assert bench.plan() == []
-    bench.add_worker("w2", cpu=2000)
-    orders = bench.start_all()
+def test_gang_starts_whole_or_not_at_all(harness: Bench) -> None:
+    harness.add_worker("w1", cpu=2000)
+    harness.add_job(Step(3, cpu=1000, gang=True))
+    assert harness.plan() == []
+    harness.add_worker("w2", cpu=2000)
+    orders = harness.start_all()
     assert len(orders) == 3
     assert {order.run for order in orders} == {1}
-    bench.report(orders[0].worker_id, (orders[0], EndKind.DONE))
-    job = bench.shard.jobs["a" * 16]
+    harness.report(orders[0].worker_id, (orders[0], EndKind.DONE))
+    job = harness.shard.jobs["a" * 16]
     assert job.state is JobState.SUCCEEDED
 
 
-def test_worker_that_fails_whatever_it_starts_is_left_out(bench: Bench) -> None:
-    bench.add_worker("w1")
+def test_worker_that_fails_every_task_is_blocked(harness: Bench) -> None:
+    harness.add_worker("w1")
     for number in range(2):
-        bench.add_job(Step(1, cpu=1000), job_id=f"{number:016x}")
-    for order in bench.start_all():
-        bench.report("w1", (order, EndKind.FAILED))
-    bench.add_worker("w2")
-    bench.now += 0.2
-    assert {order.worker_id for order in bench.plan()} == {"w2"}
+        harness.add_job(Step(1, cpu=1000), job_id=f"{number:016x}")
+    for order in harness.start_all():
+        harness.report("w1", (order, EndKind.FAILED))
+    harness.add_worker("w2")
+    harness.now += 0.2
+    assert {order.worker_id for order in harness.plan()} == {"w2"}
 
 
-def test_nothing_starts_on_a_draining_worker(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.add_worker("w2")
+def test_nothing_starts_on_a_draining_worker(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.add_worker("w2")
     draining = attrs.evolve(ENTRY, worker_id="w1", state=WorkerState.DRAINING)
-    bench.shard.observe_worker(draining, bench.now)
-    bench.add_job(Step(3, cpu=1000))
-    assert {order.worker_id for order in bench.plan()} == {"w2"}
+    harness.shard.observe_worker(draining, harness.now)
+    harness.add_job(Step(3, cpu=1000))
+    assert {order.worker_id for order in harness.plan()} == {"w2"}
 
 
-def test_required_label_and_anti_affinity_are_kept(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.add_worker("w2", labels=("b", "r1"))
-    bench.add_worker("w3", labels=("b", "r2"))
-    bench.add_job(Step(5, cpu=1000, requires="b", anti_affinity=2))
-    placed = sorted(order.worker_id for order in bench.plan())
+def test_required_label_and_anti_affinity_are_kept(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.add_worker("w2", labels=("b", "r1"))
+    harness.add_worker("w3", labels=("b", "r2"))
+    harness.add_job(Step(5, cpu=1000, requires="b", anti_affinity=2))
+    placed = sorted(order.worker_id for order in harness.plan())
     assert placed == ["w2", "w2", "w3", "w3"]
 
 
-def test_task_runs_near_its_data_where_there_is_room(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.add_worker("w2", labels=("a", "r2"), cpu=2000)
-    bench.add_job(Step(3, cpu=1000, affinity="r2"))
-    placed = sorted(order.worker_id for order in bench.plan())
+def test_task_runs_near_its_data_where_capacity_is_free(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.add_worker("w2", labels=("a", "r2"), cpu=2000)
+    harness.add_job(Step(3, cpu=1000, affinity="r2"))
+    placed = sorted(order.worker_id for order in harness.plan())
     assert placed == ["w1", "w2", "w2"]
 
 
-def test_ends_between_two_plans_are_one_line_of_the_log(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.add_worker("w2")
-    bench.add_job(Step(4, cpu=1000, anti_affinity=3))
-    orders = bench.start_all()
+def test_tasks_done_between_two_passes_are_logged_in_one_line(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.add_worker("w2")
+    harness.add_job(Step(4, cpu=1000, anti_affinity=3))
+    orders = harness.start_all()
     first, other = orders[0].worker_id, orders[3].worker_id
     ends = [(orders[0], EndKind.DONE), (orders[1], EndKind.DONE)]
     with structlog.testing.capture_logs() as lines:
-        bench.report(first, *ends, (orders[2], EndKind.FAILED))
-        bench.report(other, (orders[3], EndKind.DONE))
-        bench.plan()
-        bench.plan()
+        harness.report(first, *ends, (orders[2], EndKind.FAILED))
+        harness.report(other, (orders[3], EndKind.DONE))
+        harness.plan()
+        harness.plan()
     done = [line for line in lines if line["event"] == "tasks done"]
     failed = [line for line in lines if line["event"] == "task ended"]
     ended = [str(orders[number].task) for number in (0, 1, 3)]
@@ -386,56 +389,56 @@
     assert clock.sample_ms == 10_900.0
 
 
-def test_report_sums_the_work_that_arrived(bench: Bench) -> None:
-    bench.add_job(Step(4, cpu=32_000, estimate_ms=500), Step(2, long_running=True))
-    assert bench.shard.build_report(bench.now).offered == 0.0
-    bench.add_worker("w1")
-    assert bench.shard.build_report(bench.now).offered == 1.0
-    bench.add_job(
+def test_report_sums_the_work_of_submitted_jobs(harness: Bench) -> None:
+    harness.add_job(Step(4, cpu=32_000, estimate_ms=500), Step(2, long_running=True))
+    assert harness.shard.build_report(harness.now).offered == 0.0
+    harness.add_worker("w1")
+    assert harness.shard.build_report(harness.now).offered == 1.0
+    harness.add_job(
         Step(1, cpu=1000, memory_mb=256_000, estimate_ms=250), job_id="b" * 16
     )
-    assert bench.shard.build_report(bench.now).offered == 1.25
-    assert bench.shard.build_report(bench.now).offered == 1.25
+    assert harness.shard.build_report(harness.now).offered == 1.25
+    assert harness.shard.build_report(harness.now).offered == 1.25
 
 
-def test_hold_waits_less_where_ends_are_expected(bench: Bench) -> None:
-    bench.shard.observe_worker(ENTRY, bench.now)
-    record = bench.shard.workers["w1"]
+def test_hold_wait_is_shorter_where_runs_are_expected_to_end(harness: Bench) -> None:
+    harness.shard.observe_worker(ENTRY, harness.now)
+    record = harness.shard.workers["w1"]
     assert choose_hold_wait(record) == 0.0
-    bench.report("w1")
+    harness.report("w1")
     assert choose_hold_wait(record) == IDLE_WAIT_S
-    bench.add_job(Step(1, cpu=1000, long_running=True), job_id="b" * 16)
-    bench.start_all()
+    harness.add_job(Step(1, cpu=1000, long_running=True), job_id="b" * 16)
+    harness.start_all()
     assert choose_hold_wait(record) == IDLE_WAIT_S
-    bench.add_job(Step(1, cpu=1000))
-    (order,) = bench.start_all()
+    harness.add_job(Step(1, cpu=1000))
+    (order,) = harness.start_all()
     assert choose_hold_wait(record) == BUSY_WAIT_S
     lost = Reply(ReplyKind.NO_ANSWER)
-    bench.shard.apply_failure("w1", lost, bench.now)
+    harness.shard.apply_failure("w1", lost, harness.now)
     assert choose_hold_wait(record) == 0.0
-    bench.report("w1", (order, EndKind.DONE))
+    harness.report("w1", (order, EndKind.DONE))
     assert choose_hold_wait(record) == IDLE_WAIT_S
 
 
-def test_report_counts_only_waiting_tasks_that_need_more_vms(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.add_job(Step(1, cpu=64_000, estimate_ms=1000))
-    bench.start_all()
-    bench.add_job(Step(1, cpu=64_000, estimate_ms=5000), job_id="b" * 16)
-    assert bench.plan() == []
-    # its objective is 8.6 s, so it can wait for 3.6 s
-    assert bench.shard.build_report(bench.now).queued == 0.0
-    assert bench.shard.build_report(bench.now + 1.5).queued == 1.0
-    assert bench.shard.build_report(bench.now + 4.0).queued == 0.0
-
-
-def test_order_that_is_still_being_stored_is_not_taken_for_lost(bench: Bench) -> None:
-    bench.add_worker("w1")
-    bench.add_job(Step(1, cpu=1000))
-    (order,) = bench.plan()
-    bench.now += START_WINDOW_MS / 1000 * 3
-    bench.report("w1")
-    assert bench.plan() == []
-    ready = bench.shard.prepare_start(order, bench.now)
-    assert ready is not None
-    assert ready.run == order.run
+def test_report_counts_only_waiting_tasks_that_need_more_vms(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.add_job(Step(1, cpu=64_000, estimate_ms=1000))
+    harness.start_all()
+    harness.add_job(Step(1, cpu=64_000, estimate_ms=5000), job_id="b" * 16)
+    assert harness.plan() == []
+    # the job has to end within 8.6 s and takes 5 s, so it can wait for 3.6 s
+    assert harness.shard.build_report(harness.now).queued == 0.0
+    assert harness.shard.build_report(harness.now + 1.5).queued == 1.0
+    assert harness.shard.build_report(harness.now + 4.0).queued == 0.0
+
+
+def test_start_order_still_being_stored_is_not_treated_as_lost(harness: Bench) -> None:
+    harness.add_worker("w1")
+    harness.add_job(Step(1, cpu=1000))
+    (order,) = harness.plan()
+    harness.now += START_WINDOW_MS / 1000 * 3
+    harness.report("w1")
+    assert harness.plan() == []
+    prepared = harness.shard.prepare_start(order, harness.now)
+    assert prepared is not None
+    assert prepared.run == order.run
