--- a/src/onyxgap/pools/__init__.py
+++ b/src/onyxgap/pools/__init__.py
@@ -1,1 +1,1 @@
-"""The VMs of a deployment: which pool each is in, and when each is maintained."""
+"""Autoscaling and maintenance of the VM pools of a deployment."""
--- a/src/onyxgap/pools/allocation.py
+++ b/src/onyxgap/pools/allocation.py
@@ -1,7 +1,7 @@
-"""Shares the VMs of a fleet among pools; answers pools that want more than there are.
+"""Allocates the VMs of a fleet to pools when they request more than there are.
 
-Each pool on its own cannot know that another one is late for want of VMs that it only
-keeps in case: what is needed now goes before what may be needed soon.
+Pools are not sized one by one: a pool may be late for lack of VMs that another pool
+only keeps in reserve. VMs for current work are therefore allocated before reserves.
 """
 
 import math
@@ -12,10 +12,10 @@
 
 @attrs.frozen(slots=True)
 class PoolClaim:
-    """How many VMs a pool asks for.
+    """Number of VMs that a pool requests.
 
-    :param needed: VMs that its present work fills.
-    :param wanted: VMs that it should have in case, at least as many.
+    :param needed: VMs for its current work.
+    :param wanted: VMs including its reserve; at least ``needed``.
     """
 
     needed: int
@@ -23,28 +23,30 @@
 
 
 def allocate_vms(claims: t.Mapping[str, PoolClaim], total: int) -> dict[str, int]:
-    """Choose the size of each pool; the sum is at most the VMs that there are.
+    """Choose the size of each pool; the sum is at most ``total``.
 
-    :param claims: what each pool asks for.
-    :param total: VMs that there are, those of the spare pool included.
+    :param claims: claim by pool.
+    :param total: VMs of the fleet, including those of the spare pool.
     """
     needed = {pool: claim.needed for pool, claim in claims.items()}
     if sum(needed.values()) >= total:
-        return _share(needed, total)
+        return _allocate_proportionally(needed, total)
     reserves = {pool: claim.wanted - claim.needed for pool, claim in claims.items()}
-    given = _share(reserves, total - sum(needed.values()))
-    return {pool: needed[pool] + given[pool] for pool in claims}
-
-
-def _share(asked: t.Mapping[str, int], total: int) -> dict[str, int]:
-    """Give each pool the same share of what it asks for, in whole VMs."""
-    if sum(asked.values()) <= total:
-        return dict(asked)
-    share = total / sum(asked.values())
-    given = {pool: math.floor(count * share) for pool, count in asked.items()}
+    allocated = _allocate_proportionally(reserves, total - sum(needed.values()))
+    return {pool: needed[pool] + allocated[pool] for pool in claims}
+
+
+def _allocate_proportionally(
+    requested: t.Mapping[str, int], total: int
+) -> dict[str, int]:
+    """Allocate each pool the same fraction of its request, in whole VMs."""
+    if sum(requested.values()) <= total:
+        return dict(requested)
+    share = total / sum(requested.values())
+    allocated = {pool: math.floor(count * share) for pool, count in requested.items()}
     by_remainder = sorted(
-        asked, key=lambda pool: (given[pool] - asked[pool] * share, pool)
+        requested, key=lambda pool: (allocated[pool] - requested[pool] * share, pool)
     )
-    for pool in by_remainder[: total - sum(given.values())]:
-        given[pool] += 1
-    return given
+    for pool in by_remainder[: total - sum(allocated.values())]:
+        allocated[pool] += 1
+    return allocated
--- a/src/onyxgap/pools/sizing.py
+++ b/src/onyxgap/pools/sizing.py
@@ -1,7 +1,7 @@
-"""How many VMs each pool should have; answers a demand that moves between pools.
+"""Autoscaling of pools: chooses the size of each pool as demand shifts among pools.
 
-A VM in a pool is paid by the second, a VM in the spare pool is not, and a move
-costs as much as about 1.2 of those seconds.
+A VM in a pool is billed by the second, and a VM in the spare pool is not. A move costs
+as much as about 1.2 billed seconds.
 """
 
 import math
@@ -11,48 +11,50 @@
 
 from .allocation import PoolClaim
 from .allocation import allocate_vms
+from .bursts import BurstForecast
 from .messages import PoolReport
 from .offered import OfferedLoad
-from .turns import TurnForecast
 
 HEADROOM = 1.1
-"""Tasks do not fill a VM to the last core, and the need is up to 0.3 s old."""
+"""Tasks do not fill a VM to its last core, and the known demand is up to 0.3 s old."""
 QUEUE_SHARE = 0.5
-"""Share of the queue that a pool is sized for: tasks last about a second, and a VM
-that is asked for now serves 2.2 s later."""
+"""Fraction of the queue that a pool is sized for: tasks last about a second, and a VM
+requested now serves 2.2 s later."""
 MIN_VMS = 2
-"""A pool keeps two VMs, so that losing one does not stop its urgent jobs."""
-FIRST_SHARE = 0.625
-"""Share of its size that a pool keeps while others have had a turn and it has not:
-nothing tells when its turn comes, and a smaller pool is full before VMs come."""
-USUAL_GROWTH = 1.5
-"""Multiple of its first size up to which a pool grows by whatever work arrives; beyond
-it by what surely arrives, queues or runs. Three large jobs by chance look like a
-turn."""
-LEAD_S = 2.6
-"""A move takes 1.5 s; then the worker registers and is held for the first time."""
-HOLD_S = 2.0
-"""A pool keeps the size that it needed within this time: giving a VM back and asking
-for it again costs two moves and 1.5 s without it."""
+"""Minimum size of a pool, so that the loss of one VM does not stop its urgent jobs."""
+BEFORE_FIRST_BURST_SHARE = 0.625
+"""Fraction of its base size that a pool keeps while other pools have had a burst and it
+has not. The start of its first burst is unknown, and a smaller pool would be full
+before more VMs arrive."""
+EXPECTED_LOAD_GROWTH = 1.5
+"""Multiple of its base size up to which a pool grows with the expected offered load.
+Beyond that, it grows only with the lower bound of the offered load and with queued and
+running work: three large jobs that arrive by chance look like a burst."""
+SCALE_UP_LEAD_S = 2.6
+"""How long before an expected burst a pool is scaled up. A move takes 1.5 s, then the
+worker registers and is sent its first hold request."""
+SCALE_DOWN_WINDOW_S = 2.0
+"""A pool is not scaled below the largest size that it needed within this window.
+Releasing a VM and requesting it again costs two moves and 1.5 s without the VM."""
 
 
 class Sizer(t.Protocol):
-    """Chooses the sizes of the pools from the shards' reports."""
+    """Policy that chooses the sizes of pools from the reports of shards."""
 
     def observe(self, report: PoolReport, now: float) -> None:
-        """Take in a shard's report."""
+        """Record the report of a shard."""
 
     def advance(self, now: float) -> None:
-        """Let time pass for shards that reported nothing new."""
+        """Advance the clock for shards without a new report."""
 
     def list_busy(self) -> frozenset[str]:
-        """List the pools whose turn is on."""
+        """List the pools that are in a burst."""
 
     def export(self, offset_s: float) -> dict[str, t.Any]:
-        """Give what a successor should know, with times on another clock."""
+        """Return the state for a successor, with times converted to another clock."""
 
     def restore(self, exported: t.Mapping[str, t.Any], offset_s: float) -> None:
-        """Take over what an earlier holder exported."""
+        """Restore the state that a previous fleet controller exported."""
 
     def choose_sizes(
         self,
@@ -61,58 +63,60 @@
         total: int,
         now: float,
     ) -> dict[str, int]:
-        """Choose the number of VMs for each pool; none to leave all as they are."""
+        """Choose the size of each pool; a pool that is left out keeps its VMs."""
 
 
 @attrs.define
 class PoolSizer:
-    """Chooses the sizes of the pools by need and by the forecast of turns.
+    """Chooses the sizes of pools by current demand and by a forecast of bursts.
 
-    :param forecast: turns of the shards.
+    :param forecast: forecast of the bursts of all shards.
+    :param load: offered load by shard.
     """
 
-    forecast: TurnForecast = attrs.field(factory=TurnForecast)
+    forecast: BurstForecast = attrs.field(factory=BurstForecast)
     load: OfferedLoad = attrs.field(factory=OfferedLoad)
-    _counts: dict[str, tuple[int, int]] = attrs.field(factory=dict)
-    _recent: dict[str, list[tuple[float, int]]] = attrs.field(factory=dict)
+    _job_counters: dict[str, tuple[int, int]] = attrs.field(factory=dict)
+    _recent_needed: dict[str, list[tuple[float, int]]] = attrs.field(factory=dict)
 
     def observe(self, report: PoolReport, now: float) -> None:
-        """Take in a shard's report.
+        """Record the report of a shard.
 
         :param report: the report.
         :param now: monotonic seconds.
         """
-        epoch, jobs = self._counts.get(
+        epoch, jobs = self._job_counters.get(
             report.shard, (report.epoch, report.arrived_jobs)
         )
         if epoch != report.epoch:
             jobs = 0
-        self._counts[report.shard] = (report.epoch, report.arrived_jobs)
+        self._job_counters[report.shard] = (report.epoch, report.arrived_jobs)
         self.forecast.observe(report.shard, now, max(0, report.arrived_jobs - jobs))
         self.load.observe(report, now)
-        self.forecast.note_need(report.shard, get_need(report))
+        self.forecast.record_demand(report.shard, get_need(report))
 
     def advance(self, now: float) -> None:
-        """Let time pass for shards that reported nothing new."""
-        for shard in self._counts:
+        """Advance the clock for shards without a new report."""
+        for shard in self._job_counters:
             self.forecast.observe(shard, now, 0)
 
     def list_busy(self) -> frozenset[str]:
-        """List the pools whose turn is on."""
+        """List the pools that are in a burst."""
         return self.forecast.list_busy()
 
     def export(self, offset_s: float) -> dict[str, t.Any]:
-        """Give what a successor should know, with times on another clock.
+        """Return the state for a successor, with times converted to another clock.
 
         :param offset_s: seconds to add to this process's monotonic time.
         """
         return self.forecast.export(offset_s)
 
     def restore(self, exported: t.Mapping[str, t.Any], offset_s: float) -> None:
-        """Take over what an earlier holder exported.
+        """Restore the state that a previous fleet controller exported.
 
-        :param exported: what :meth:`export` gave.
-        :param offset_s: what that clock is ahead of this process's monotonic time.
+        :param exported: result of :meth:`export`.
+        :param offset_s: seconds by which the clock of the exported times is ahead of
+            this process's monotonic time.
         """
         self.forecast.restore(exported, offset_s)
 
@@ -123,65 +127,74 @@
         total: int,
         now: float,
     ) -> dict[str, int]:
-        """Choose the number of VMs for each pool that runs jobs.
+        """Choose the size of each pool that runs jobs.
 
-        :param reports: newest report by shard.
-        :param base: VMs of each pool in the beginning.
-        :param total: VMs that there are, those of the spare pool included.
+        :param reports: latest report by shard.
+        :param base: base size of each pool, in VMs.
+        :param total: VMs of the fleet, including those of the spare pool.
         :param now: monotonic seconds.
         """
         claims = {
-            shard: self._claim(report, base.get(shard, MIN_VMS), now)
+            shard: self._build_claim(report, base.get(shard, MIN_VMS), now)
             for shard, report in reports.items()
         }
         return allocate_vms(claims, total)
 
-    def _claim(self, report: PoolReport, base: int, now: float) -> PoolClaim:
-        usual = count_needed(report, self.load.get_rate(report.shard, now))
-        sure = count_needed(report, self.load.get_sure_rate(report.shard, now))
-        needed = max(sure, min(usual, math.ceil(base * USUAL_GROWTH)), MIN_VMS)
-        held = self._hold_need(report.shard, needed, now)
-        return PoolClaim(needed, max(held, self._get_floor(report.shard, base, now)))
+    def _build_claim(self, report: PoolReport, base: int, now: float) -> PoolClaim:
+        expected = count_needed(report, self.load.get_load(report.shard, now))
+        lower_bound = count_needed(
+            report, self.load.get_load_lower_bound(report.shard, now)
+        )
+        needed = max(
+            lower_bound, min(expected, math.ceil(base * EXPECTED_LOAD_GROWTH)), MIN_VMS
+        )
+        recent_max = self._update_recent_max(report.shard, needed, now)
+        return PoolClaim(
+            needed, max(recent_max, self._get_min_size(report.shard, base, now))
+        )
 
-    def _get_floor(self, shard: str, base: int, now: float) -> int:
-        """Give the VMs that a pool keeps, however little it needs now."""
-        if self._is_quiet(shard, now):
+    def _get_min_size(self, shard: str, base: int, now: float) -> int:
+        """Return the minimum size of a pool, regardless of its current demand."""
+        if self._is_between_bursts(shard, now):
             return MIN_VMS
-        if self.forecast.awaits_first_turn(shard):
-            return max(MIN_VMS, math.ceil(base * FIRST_SHARE))
+        if self.forecast.awaits_first_burst(shard):
+            return max(MIN_VMS, math.ceil(base * BEFORE_FIRST_BURST_SHARE))
         return base
 
-    def _hold_need(self, shard: str, need: int, now: float) -> int:
+    def _update_recent_max(self, shard: str, needed: int, now: float) -> int:
+        """Record what a pool needs; return the maximum within the scale-down window."""
         recent = [
             (at, earlier)
-            for at, earlier in self._recent.get(shard, ())
-            if at > now - HOLD_S and earlier > need
+            for at, earlier in self._recent_needed.get(shard, ())
+            if at > now - SCALE_DOWN_WINDOW_S and earlier > needed
         ]
-        self._recent[shard] = [*recent, (now, need)]
-        return max(earlier for _, earlier in self._recent[shard])
+        self._recent_needed[shard] = [*recent, (now, needed)]
+        return max(earlier for _, earlier in self._recent_needed[shard])
 
-    def _is_quiet(self, shard: str, now: float) -> bool:
-        """Tell whether a shard's turn is over and the next one is not near."""
+    def _is_between_bursts(self, shard: str, now: float) -> bool:
+        """Tell whether a shard's burst is over and the next one is not imminent."""
         arrivals = self.forecast.shards.get(shard)
         if arrivals is None or arrivals.busy:
             return False
         start = self.forecast.get_next_start(shard)
-        return start is not None and now < start - LEAD_S
+        return start is not None and now < start - SCALE_UP_LEAD_S
 
 
-def get_need(report: PoolReport, rate: float = 0.0) -> float:
-    """Give the VMs that a shard could fill at once, or will by what arrives.
+def get_need(report: PoolReport, offered_load: float = 0.0) -> float:
+    """Return the VMs that a shard can fill with its current and arriving work.
 
     :param report: its report.
-    :param rate: VMs that the arriving work keeps busy; see :class:`OfferedLoad`.
+    :param offered_load: VMs that arriving work keeps busy; see :class:`OfferedLoad`.
     """
-    return QUEUE_SHARE * report.queued + max(report.batch, rate) + report.serving
+    return (
+        QUEUE_SHARE * report.queued + max(report.batch, offered_load) + report.serving
+    )
 
 
-def count_needed(report: PoolReport, rate: float = 0.0) -> int:
-    """Count the VMs that a shard needs now, with headroom.
+def count_needed(report: PoolReport, offered_load: float = 0.0) -> int:
+    """Count the VMs that a shard needs now, including headroom.
 
     :param report: its report.
-    :param rate: VMs that the arriving work keeps busy.
+    :param offered_load: VMs that arriving work keeps busy.
     """
-    return math.ceil(get_need(report, rate) * HEADROOM)
+    return math.ceil(get_need(report, offered_load) * HEADROOM)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""Turns, sizes of pools, waves and moves."""
+"""Burst forecast, pool sizes, maintenance waves and moves of VMs."""
 
 import typing as t
 
@@ -6,6 +6,7 @@
 import pytest
 
 from onyxgap.exceptions import DocumentError
+from onyxgap.pools.bursts import BurstForecast
 from onyxgap.pools.messages import FleetRow
 from onyxgap.pools.messages import PoolReport
 from onyxgap.pools.messages import Vm
@@ -22,21 +23,21 @@
 from onyxgap.pools.offered import WINDOW_S
 from onyxgap.pools.offered import OfferedLoad
 from onyxgap.pools.planner import FleetPlanner
-from onyxgap.pools.sizing import HOLD_S
+from onyxgap.pools.sizing import SCALE_DOWN_WINDOW_S
 from onyxgap.pools.sizing import PoolSizer
-from onyxgap.pools.turns import TurnForecast
 
 TICK_S = 0.25
 TOTAL = 24
-"""VMs of a small fleet: two pools of eight and as many spare ones."""
+"""VMs of a small fleet: two pools of eight, and eight spare VMs."""
 
 
-def run_turns(
-    forecast: TurnForecast, turns: t.Sequence[tuple[str, float]], per_tick: int = 2
+def observe_bursts(
+    forecast: BurstForecast, bursts: t.Sequence[tuple[str, float]], per_tick: int = 2
 ) -> float:
+    """Record the arrivals of consecutive bursts; return the time of the last tick."""
     now = 0.0
-    shards = sorted({shard for shard, _ in turns})
-    for busy, length in turns:
+    shards = sorted({shard for shard, _ in bursts})
+    for busy, length in bursts:
         for _ in range(int(length / TICK_S)):
             now += TICK_S
             for shard in shards:
@@ -44,34 +45,34 @@
     return now
 
 
-def test_turn_begins_and_ends_with_its_arrivals() -> None:
-    forecast = TurnForecast()
-    run_turns(forecast, [("a", 6.0)])
+def test_burst_starts_and_ends_with_its_arrivals() -> None:
+    forecast = BurstForecast()
+    observe_bursts(forecast, [("a", 6.0)])
     assert forecast.list_busy() == {"a"}
-    run_turns(forecast, [("a", 6.0), ("b", 3.0)])
+    observe_bursts(forecast, [("a", 6.0), ("b", 3.0)])
     assert forecast.list_busy() == {"b"}
     assert forecast.shards["a"].lengths == [pytest.approx(6.0, abs=0.3)]
 
 
-def test_lone_jobs_begin_no_turn() -> None:
-    forecast = TurnForecast()
+def test_single_jobs_start_no_burst() -> None:
+    forecast = BurstForecast()
     for second in range(20):
         forecast.observe("a", float(second), 1)
     assert forecast.list_busy() == frozenset()
 
 
-def test_next_turn_is_expected_early_rather_than_late() -> None:
-    forecast = TurnForecast()
-    run_turns(forecast, [("a", 6.0), ("b", 6.0), ("c", 0.25)])
+def test_next_burst_is_expected_early_rather_than_late() -> None:
+    forecast = BurstForecast()
+    observe_bursts(forecast, [("a", 6.0), ("b", 6.0), ("c", 0.25)])
     start = forecast.get_next_start("a")
     assert start is not None
     assert 12.0 < start <= 18.0
     assert forecast.get_next_start("c") is None
 
 
-def test_period_is_measured_once_a_turn_came_again() -> None:
-    forecast = TurnForecast()
-    now = run_turns(forecast, [("a", 5.0), ("b", 5.0), ("a", 5.0), ("b", 5.0)])
+def test_period_is_measured_once_a_burst_recurs() -> None:
+    forecast = BurstForecast()
+    now = observe_bursts(forecast, [("a", 5.0), ("b", 5.0), ("a", 5.0), ("b", 5.0)])
     start = forecast.get_next_start("a")
     assert start == pytest.approx(20.0, abs=0.6)
     assert start > now - 1
@@ -81,7 +82,7 @@
     return attrs.evolve(PoolReport(shard, epoch=1), **changes)
 
 
-def test_unknown_pool_keeps_its_vms_and_grows_with_its_need() -> None:
+def test_pool_without_history_keeps_its_vms_and_grows_with_demand() -> None:
     sizer = PoolSizer()
     assert sizer.choose_sizes({"a": report("a")}, {"a": 8}, TOTAL, 1.0) == {"a": 8}
     busy = {"a": report("a", batch=7.0, queued=4.0)}
@@ -91,9 +92,9 @@
     assert sizer.choose_sizes(busy, {"a": 8}, TOTAL, 3.0) == {"a": TOTAL}
 
 
-def test_pool_rests_between_its_turns_and_is_back_before_the_next() -> None:
+def test_pool_shrinks_between_bursts_and_grows_before_the_next() -> None:
     sizer = PoolSizer()
-    now = run_turns(sizer.forecast, [("a", 6.0), ("b", 3.0), ("c", 0.5)])
+    now = observe_bursts(sizer.forecast, [("a", 6.0), ("b", 3.0), ("c", 0.5)])
     reports = {"a": report("a", serving=0.4)}
     assert sizer.choose_sizes(reports, {"a": 8}, TOTAL, now) == {"a": 2}
     start = sizer.forecast.get_next_start("a")
@@ -101,17 +102,21 @@
     assert sizer.choose_sizes(reports, {"a": 8}, TOTAL, start - 2.0) == {"a": 8}
 
 
-def test_size_is_held_for_a_while() -> None:
+def test_size_is_kept_for_the_scale_down_window() -> None:
     sizer = PoolSizer()
-    now = run_turns(sizer.forecast, [("a", 6.0), ("b", 3.0), ("c", 0.5)])
+    now = observe_bursts(sizer.forecast, [("a", 6.0), ("b", 3.0), ("c", 0.5)])
     high = {"a": report("a", batch=5.0)}
     low = {"a": report("a")}
     assert sizer.choose_sizes(high, {"a": 8}, TOTAL, now) == {"a": 6}
-    assert sizer.choose_sizes(low, {"a": 8}, TOTAL, now + HOLD_S / 2) == {"a": 6}
-    assert sizer.choose_sizes(low, {"a": 8}, TOTAL, now + HOLD_S + 0.1) == {"a": 2}
+    assert sizer.choose_sizes(low, {"a": 8}, TOTAL, now + SCALE_DOWN_WINDOW_S / 2) == {
+        "a": 6
+    }
+    assert sizer.choose_sizes(
+        low, {"a": 8}, TOTAL, now + SCALE_DOWN_WINDOW_S + 0.1
+    ) == {"a": 2}
 
 
-def test_rows_survive_their_encoding() -> None:
+def test_encoding_of_rows_round_trips() -> None:
     sent = report("a", workers={"w": WorkerLoad(2, 1, 900)}, emptied={"w": "move#1"})
     assert decode_report(encode_report(sent)) == sent
     row = FleetRow(
@@ -156,21 +161,21 @@
     return report(pool, workers=workers, **changes)
 
 
-def empty_cordoned(planner: FleetPlanner) -> None:
+def report_drained(planner: FleetPlanner) -> None:
     for pool in "ab":
         planner.reports[pool] = build_report(
             planner, pool, emptied=dict(planner.cordons)
         )
 
 
-def test_vm_is_maintained_only_once_its_shard_says_it_is_empty(
+def test_vm_is_maintained_only_once_its_shard_reports_it_drained(
     planner: FleetPlanner,
 ) -> None:
     planner.add_wave(Wave(1, ("a0", "z0"), 20.0, 2), 1.0)
     assert [order.vm for order in planner.plan(1.0)] == ["z0"]
     assert set(planner.cordons) == {"w-a0"}
     assert planner.plan(1.1) == []
-    empty_cordoned(planner)
+    report_drained(planner)
     assert [order.vm for order in planner.plan(1.2)] == ["a0"]
 
 
@@ -194,7 +199,7 @@
     assert planner.find_complete() == []
 
 
-def test_wave_is_complete_when_each_vm_has_begun_or_left(
+def test_wave_is_complete_when_each_vm_has_started_or_is_gone(
     planner: FleetPlanner,
 ) -> None:
     planner.add_wave(Wave(1, ("z0", "a3"), 20.0, 2), 1.0)
@@ -205,7 +210,7 @@
     assert planner.find_complete() == [1]
 
 
-def test_busy_pool_is_left_alone_until_the_wave_would_be_late(
+def test_pool_in_a_burst_is_not_drained_until_the_wave_would_be_late(
     planner: FleetPlanner,
 ) -> None:
     planner.busy = frozenset("a")
@@ -216,7 +221,7 @@
     assert len(planner.cordons) == 1
 
 
-def test_order_without_answer_is_sent_again(planner: FleetPlanner) -> None:
+def test_order_without_reply_is_sent_again(planner: FleetPlanner) -> None:
     planner.add_wave(Wave(1, ("z0",), 20.0, 1), 1.0)
     (order,) = planner.plan(1.0)
     planner.apply_reply(order, VmReply.UNKNOWN, 1.1)
@@ -226,7 +231,7 @@
     assert planner.waves[1].done == {"z0"}
 
 
-def test_spare_vms_join_a_pool_that_lacks_some(planner: FleetPlanner) -> None:
+def test_spare_vms_move_to_a_pool_with_a_shortfall(planner: FleetPlanner) -> None:
     planner.sizes = {"a": 5, "b": 4}
     (order,) = planner.plan(1.0)
     assert order == VmOrder("z0", VmActionKind.MOVE, pool="a")
@@ -234,14 +239,14 @@
     assert planner.plan(1.2) == []
 
 
-def test_surplus_vms_are_emptied_and_given_to_the_pool_that_lacks(
+def test_surplus_vms_are_drained_and_moved_to_the_pool_with_a_shortfall(
     planner: FleetPlanner,
 ) -> None:
     planner.sizes = {"a": 7, "b": 2}
     moves = planner.plan(1.0)
     assert {order.vm for order in moves} == {"z0", "z1"}
     assert len(planner.cordons) == 2
-    empty_cordoned(planner)
+    report_drained(planner)
     pools = sorted(order.pool for order in planner.plan(1.2))
     assert pools == ["a", "spare"]
 
@@ -254,7 +259,7 @@
     assert planner.cordons == {}
 
 
-def test_cordon_is_lifted_when_the_pool_needs_its_vm_again(
+def test_cordon_is_removed_when_the_pool_needs_its_vm_again(
     planner: FleetPlanner,
 ) -> None:
     planner.sizes = {"a": 4, "b": 3}
@@ -276,7 +281,7 @@
     assert [order.vm for order in planner.plan(10.0)] == ["z0"]
 
 
-def test_successor_knows_what_was_maintained(planner: FleetPlanner) -> None:
+def test_successor_knows_which_vms_were_maintained(planner: FleetPlanner) -> None:
     planner.add_wave(Wave(1, ("z0", "z1"), 20.0, 2), 1.0)
     for order in planner.plan(1.0):
         planner.apply_reply(order, VmReply.DONE, 1.1)
@@ -288,7 +293,7 @@
     assert successor.find_complete() == [1]
 
 
-def test_successor_leaves_only_vms_alone_that_were_ordered_lately(
+def test_successor_pauses_orders_only_for_recently_ordered_vms(
     planner: FleetPlanner,
 ) -> None:
     planner.add_wave(Wave(1, ("z0",), 20.0, 1), 1.0)
@@ -304,7 +309,7 @@
     assert [order.vm for order in successor.plan(8.8)] == ["z0"]
 
 
-def test_order_is_forgotten_once_it_is_over(planner: FleetPlanner) -> None:
+def test_order_is_forgotten_once_it_is_no_longer_pending(planner: FleetPlanner) -> None:
     planner.add_wave(Wave(1, ("z0",), 20.0, 1), 1.0)
     (order,) = planner.plan(1.0)
     planner.forget_orders(2.0)
@@ -323,67 +328,70 @@
     sizer.observe(arrived, 1.3)
     reports = {"a": arrived}
     assert sizer.choose_sizes(reports, {"a": 8}, TOTAL, 1.4) == {"a": 10}
-    late = 1.3 + HOLD_S + WINDOW_S + 0.1
+    late = 1.3 + SCALE_DOWN_WINDOW_S + WINDOW_S + 0.1
     assert sizer.choose_sizes(reports, {"a": 8}, TOTAL, late) == {"a": 8}
 
 
-def test_lone_large_job_counts_half_of_its_work() -> None:
+def test_single_large_job_counts_half_of_its_work() -> None:
     load = OfferedLoad()
     load.observe(report("a"), 0.9)
     load.observe(report("a", offered=5.0, arrived_jobs=1), 1.0)
-    assert load.get_rate("a", 1.5) == pytest.approx(2.5)
+    assert load.get_load("a", 1.5) == pytest.approx(2.5)
 
 
-def test_offered_load_survives_a_change_of_the_owner() -> None:
+def test_offered_load_survives_a_change_of_owner() -> None:
     load = OfferedLoad()
     load.observe(report("a"), 0.9)
     load.observe(report("a", offered=5.0, arrived_jobs=6), 1.0)
     load.observe(report("a", epoch=2), 1.2)
     load.observe(report("a", epoch=2, offered=1.5, arrived_jobs=3), 1.4)
-    assert load.get_rate("a", 1.5) == pytest.approx(6.5 * 9 / 10)
-    assert load.get_rate("a", 2.3) == pytest.approx(1.5 * 3 / 4)
-    assert load.get_rate("b", 1.0) == 0.0
+    assert load.get_load("a", 1.5) == pytest.approx(6.5 * 9 / 10)
+    assert load.get_load("a", 2.3) == pytest.approx(1.5 * 3 / 4)
+    assert load.get_load("b", 1.0) == 0.0
 
 
-def test_pool_keeps_part_of_its_vms_before_its_first_turn() -> None:
+def test_pool_keeps_part_of_its_vms_before_its_first_burst() -> None:
     sizer = PoolSizer()
     reports = {"a": report("a"), "b": report("b")}
     base = {"a": 8, "b": 8}
     assert sizer.choose_sizes(reports, base, TOTAL, 0.0) == base
-    now = run_turns(sizer.forecast, [("a", 3.0)])
-    assert sizer.choose_sizes(reports, base, TOTAL, now + HOLD_S) == {"a": 8, "b": 5}
+    now = observe_bursts(sizer.forecast, [("a", 3.0)])
+    assert sizer.choose_sizes(reports, base, TOTAL, now + SCALE_DOWN_WINDOW_S) == {
+        "a": 8,
+        "b": 5,
+    }
     reports["b"] = report("b", queued=8.0, batch=4.0)
-    assert sizer.choose_sizes(reports, base, TOTAL, now + HOLD_S)["b"] == 9
+    assert sizer.choose_sizes(reports, base, TOTAL, now + SCALE_DOWN_WINDOW_S)["b"] == 9
 
 
-def test_new_holder_takes_no_work_of_the_past_for_arriving_work() -> None:
+def test_new_fleet_controller_does_not_count_past_work_as_arriving() -> None:
     sizer = PoolSizer()
     past = report("a", epoch=3, offered=80.0, arrived_jobs=90)
     sizer.observe(past, 1.0)
     assert sizer.choose_sizes({"a": past}, {"a": 8}, TOTAL, 1.1) == {"a": 8}
-    assert sizer.load.get_rate("a", 1.1) == 0.0
+    assert sizer.load.get_load("a", 1.1) == 0.0
 
 
-def test_few_large_jobs_surely_bring_less_work_than_they_seem_to() -> None:
+def test_lower_bound_for_few_large_jobs_is_below_their_load() -> None:
     load = OfferedLoad()
     load.observe(report("a"), 0.9)
     load.observe(report("a", offered=36.0, arrived_jobs=3), 1.0)
-    assert load.get_rate("a", 1.5) == pytest.approx(27.0)
-    assert load.get_sure_rate("a", 1.5) == pytest.approx(36.0 * (1 - 3**-0.5))
-    assert load.get_sure_rate("b", 1.5) == 0.0
+    assert load.get_load("a", 1.5) == pytest.approx(27.0)
+    assert load.get_load_lower_bound("a", 1.5) == pytest.approx(36.0 * (1 - 3**-0.5))
+    assert load.get_load_lower_bound("b", 1.5) == 0.0
 
 
-def test_pool_grows_beyond_the_usual_by_sure_arrivals_only() -> None:
+def test_pool_grows_beyond_the_expected_limit_only_by_the_lower_bound() -> None:
     sizer = PoolSizer()
     sizer.observe(report("a"), 0.9)
     few = report("a", offered=36.0, arrived_jobs=3)
     sizer.observe(few, 1.0)
     assert sizer.choose_sizes({"a": few}, {"a": 8}, 60, 1.1) == {"a": 17}
-    lone = report("a", offered=54.0, arrived_jobs=4)
+    single = report("a", offered=54.0, arrived_jobs=4)
     sizer = PoolSizer()
     sizer.observe(few, 1.0)
-    sizer.observe(lone, 1.2)
-    assert sizer.choose_sizes({"a": lone}, {"a": 8}, 60, 1.3) == {"a": 10}
+    sizer.observe(single, 1.2)
+    assert sizer.choose_sizes({"a": single}, {"a": 8}, 60, 1.3) == {"a": 10}
     sizer = PoolSizer()
     sizer.observe(report("a"), 0.9)
     many = report("a", offered=36.0, arrived_jobs=81)
--- a/tests/test_sharing_vms.py
+++ b/tests/test_sharing_vms.py
@@ -1,4 +1,4 @@
-"""VMs shared among pools that want more than there are."""
+"""Allocation of VMs to pools that request more than there are."""
 
 import typing as t
 
@@ -10,14 +10,14 @@
 from onyxgap.pools.messages import PoolReport
 from onyxgap.pools.sizing import PoolSizer
 
-FLEET = 272
-"""VMs of a fleet of five pools, the spare one included."""
+FLEET_VMS = 272
+"""VMs of a fleet of five pools, including the spare pool."""
 BASE = {"a": 48, "b": 54, "c": 60, "d": 66}
 
 
 @strategies.composite
 def draw_claims(draw: t.Any) -> dict[str, PoolClaim]:
-    """Draw what some pools ask for."""
+    """Draw the claims of some pools."""
     names = draw(strategies.sets(strategies.sampled_from("abcdefg"), min_size=1))
     return {
         name: PoolClaim(needed, needed + draw(strategies.integers(0, 80)))
@@ -27,7 +27,7 @@
 
 
 @given(draw_claims(), strategies.integers(0, 600))
-def test_no_more_vms_are_given_than_there_are(
+def test_allocation_does_not_exceed_the_total(
     claims: dict[str, PoolClaim], total: int
 ) -> None:
     sizes = allocate_vms(claims, total)
@@ -39,22 +39,27 @@
 
 
 @given(draw_claims(), strategies.integers(0, 600))
-def test_present_work_goes_before_what_may_come(
+def test_current_work_goes_before_reserves(
     claims: dict[str, PoolClaim], total: int
 ) -> None:
     sizes = allocate_vms(claims, total)
-    in_case = any(sizes[pool] > claim.needed for pool, claim in claims.items())
-    served = all(sizes[pool] >= claim.needed for pool, claim in claims.items())
-    assert served or not in_case
+    reserve_allocated = any(
+        sizes[pool] > claim.needed for pool, claim in claims.items()
+    )
+    all_needed = all(sizes[pool] >= claim.needed for pool, claim in claims.items())
+    assert all_needed or not reserve_allocated
+
 
+def test_pool_under_load_gets_the_reserves_of_other_pools() -> None:
+    """Guards against a cap at twice the base size of the pool.
 
-def test_pool_in_its_turn_gets_what_others_only_keep_in_case() -> None:
-    """A need of 172 VMs got 120 before, twice what the pool began with."""
+    With that cap, a demand for 172 VMs was given only 120.
+    """
     sizer = PoolSizer()
     reports = {
         pool: PoolReport(pool, serving=9.0, epoch=1) for pool in BASE if pool != "c"
     }
     reports["c"] = PoolReport("c", serving=9.0, batch=60.0, queued=174.0, epoch=1)
-    sizes = sizer.choose_sizes(reports, BASE, FLEET, 1.0)
+    sizes = sizer.choose_sizes(reports, BASE, FLEET_VMS, 1.0)
     assert sizes["c"] == 172
-    assert sum(sizes.values()) == FLEET
+    assert sum(sizes.values()) == FLEET_VMS
