--- a/src/onyxgap/pools/fleet_state.py
+++ b/src/onyxgap/pools/fleet_state.py
@@ -1,4 +1,4 @@
-"""What the holder of the fleet duty knows: VMs, waves, reports, orders under way."""
+"""State of the fleet controller: VMs, maintenance waves, reports and pending orders."""
 
 import typing as t
 
@@ -17,23 +17,24 @@
 UPKEEP_REASON = "upkeep"
 MOVE_REASON = "move"
 RESEND_S = 0.5
-"""About as often as VMs are listed."""
+"""Delay before an order is sent again; about the interval at which VMs are listed."""
 REFUSED_PAUSE_S = 5.0
-"""An order that was refused as invalid is mostly refused again."""
-LAND_MARGIN_S = 0.3
-"""Maintenance is certainly over this long after the time that it takes."""
+"""Pause after an order was refused as invalid: most such orders are refused again."""
+UPKEEP_MARGIN_S = 0.3
+"""Margin after the duration of maintenance until it is certainly over."""
 
 _LOG = structlog.get_logger()
 
 
 @attrs.define(slots=True)
-class Flight:
-    """An order whose effect is not seen yet.
+class PendingOrder:
+    """Order whose effect the VM list does not show yet.
 
     :param order: the order.
-    :param worker_id: worker of the VM before it.
-    :param answered_at: monotonic seconds of the answer that it is done.
-    :param resend_at: monotonic seconds when it is due again, if it is unknown.
+    :param worker_id: worker of the VM before the order.
+    :param answered_at: monotonic seconds of the reply that it was carried out.
+    :param resend_at: monotonic seconds when it is sent again, if its outcome is
+        unknown.
     """
 
     order: VmOrder
@@ -44,11 +45,11 @@
 
 @attrs.define(slots=True)
 class WaveProgress:
-    """A wave and how far it got.
+    """Progress of a maintenance wave.
 
-    :param wave: what was asked for.
+    :param wave: the wave.
     :param seen_at: monotonic seconds when it was first seen.
-    :param done: VMs that have begun.
+    :param done: VMs whose maintenance has started.
     """
 
     wave: Wave
@@ -57,104 +58,106 @@
 
 
 @attrs.define
-class FleetState:
-    """State of the holder of the fleet duty.
+class FleetControllerState:
+    """State of the fleet controller.
 
     :param upkeep_s: seconds that maintenance takes.
-    :param epoch: fencing token of the holder.
-    :param successor: whether the deployment ran under an earlier holder.
+    :param epoch: fencing token of the fleet controller.
+    :param has_predecessor: whether the deployment has had a previous fleet controller.
     :param spare_pool: service whose VMs are off, or empty.
     :param shards: services that run jobs.
     :param vms: VMs by name, as last listed.
-    :param waves: waves by number.
-    :param reports: newest report by shard.
-    :param cordons: workers to be emptied, with the reason.
-    :param flights: orders under way, by VM.
-    :param busy: pools whose turn is on.
-    :param base: VMs of each pool when the first holder began.
-    :param sizes: wanted number of VMs by pool; pools without one keep theirs.
+    :param waves: progress of maintenance waves by number.
+    :param reports: latest report by shard.
+    :param cordons: cordon ID, which begins with the reason, by worker to be drained.
+    :param pending_orders: pending order by VM.
+    :param sizes: desired number of VMs by pool; other pools keep their VMs.
+    :param busy: pools that are in a burst.
+    :param base: base size by pool: its VMs when the first fleet controller started.
     """
 
     upkeep_s: float
     epoch: int = 0
-    successor: bool = False
+    has_predecessor: bool = False
     spare_pool: str = ""
     shards: frozenset[str] = frozenset()
     vms: dict[str, Vm] = attrs.field(factory=dict)
     waves: dict[int, WaveProgress] = attrs.field(factory=dict)
     reports: dict[str, PoolReport] = attrs.field(factory=dict)
     cordons: dict[str, str] = attrs.field(factory=dict)
-    flights: dict[str, Flight] = attrs.field(factory=dict)
+    pending_orders: dict[str, PendingOrder] = attrs.field(factory=dict)
     sizes: dict[str, int] = attrs.field(factory=dict)
     busy: frozenset[str] = frozenset()
     base: dict[str, int] = attrs.field(factory=dict)
-    _ordered: dict[str, float] = attrs.field(factory=dict)
-    _cordons_made: int = 0
-    _settled: bool = False
+    _last_ordered_at: dict[str, float] = attrs.field(factory=dict)
+    _cordon_count: int = 0
+    _startup_complete: bool = False
     _first_plan_at: float | None = None
-    _pauses: dict[str, float] = attrs.field(factory=dict)
-    _barred: set[tuple[str, str]] = attrs.field(factory=set)
+    _paused_until: dict[str, float] = attrs.field(factory=dict)
+    _refused_moves: set[tuple[str, str]] = attrs.field(factory=set)
 
     def restore(self, row: FleetRow, now: float, pause_s: float) -> None:
-        """Take over what an earlier holder stored.
+        """Restore the state that a previous fleet controller stored.
 
-        It stored the name of each VM before it sent an order about it. Two holders
-        must not order one VM within a while of each other, so these VMs are left
-        alone for that time; about all others no earlier order can be under way.
+        The previous controller stored the name of each VM before it sent an order
+        about that VM. Orders of two controllers about one VM must be at least
+        ``pause_s`` apart, so these VMs receive no orders for that time. For all other
+        VMs, no previous order can be in flight.
 
-        :param row: what it stored.
+        :param row: the stored state.
         :param now: monotonic seconds of the claim.
-        :param pause_s: pause between the orders of two holders about one VM.
+        :param pause_s: minimum seconds between orders of two fleet controllers about
+            one VM.
         """
         self.cordons = dict(row.cordons)
         self.base = dict(row.base)
         for name in row.ordered:
-            self._ordered[name] = now
-            self._pauses[name] = now + pause_s
+            self._last_ordered_at[name] = now
+            self._paused_until[name] = now + pause_s
         self.restore_done(row)
 
     def forget_orders(self, before: float) -> None:
-        """Forget which VMs were last ordered before a moment.
+        """Forget which VMs received orders, except for recent and pending orders.
 
-        :param before: monotonic seconds.
+        :param before: monotonic seconds; earlier orders are forgotten.
         """
-        self._ordered = {
+        self._last_ordered_at = {
             name: at
-            for name, at in self._ordered.items()
-            if at >= before or name in self.flights
+            for name, at in self._last_ordered_at.items()
+            if at >= before or name in self.pending_orders
         }
 
     def restore_done(self, row: FleetRow) -> None:
-        """Take over which VMs had begun their maintenance."""
+        """Restore which VMs have started their maintenance."""
         for number, names in row.done.items():
             progress = self.waves.get(number)
             if progress is not None:
                 progress.done |= names
 
     def get_row(self) -> FleetRow:
-        """Give what shards and successors must know."""
+        """Return the state to store for shards and for a successor."""
         done = {
             number: frozenset(progress.done) for number, progress in self.waves.items()
         }
         due = {
             self.vms[name].worker_id
             for progress in self.waves.values()
-            for name in self._list_left(progress)
+            for name in self._list_remaining(progress)
         }
         return FleetRow(
             dict(self.cordons),
             done,
             frozenset(due - {""}),
             self.base,
-            frozenset(self._ordered),
+            frozenset(self._last_ordered_at),
         )
 
     def add_wave(self, wave: Wave, now: float) -> None:
-        """Take in a wave."""
+        """Add a maintenance wave, unless it is known already."""
         if wave.number not in self.waves:
             self.waves[wave.number] = WaveProgress(wave, now)
             _LOG.info(
-                "wave seen",
+                "maintenance wave added",
                 wave=wave.number,
                 vms=len(wave.vms),
                 cap=wave.cap,
@@ -162,46 +165,49 @@
             )
 
     def apply_list(self, vms: t.Iterable[Vm], sent_at: float) -> None:
-        """Take in a list of all VMs.
+        """Update the VMs from a list of the platform.
 
-        :param vms: the VMs.
-        :param sent_at: monotonic seconds when the list was asked for.
+        :param vms: all VMs.
+        :param sent_at: monotonic seconds when the list was requested.
         """
         self.vms = {vm.name: vm for vm in vms}
         if not self.base:
             for vm in self.vms.values():
                 self.base[vm.pool] = self.base.get(vm.pool, 0) + 1
-        for name, flight in list(self.flights.items()):
-            if flight.answered_at is not None and sent_at > flight.answered_at:
-                self._land(name, flight, sent_at)
+        for name, pending in list(self.pending_orders.items()):
+            if pending.answered_at is not None and sent_at > pending.answered_at:
+                self._remove_if_complete(name, pending, sent_at)
         live = {vm.worker_id for vm in self.vms.values()}
         for worker_id in self.cordons.keys() - live:
             del self.cordons[worker_id]
 
-    def _land(self, name: str, flight: Flight, sent_at: float) -> None:
-        assert flight.answered_at is not None
+    def _remove_if_complete(
+        self, name: str, pending: PendingOrder, sent_at: float
+    ) -> None:
+        """Remove a pending order if the VM list shows its effect."""
+        assert pending.answered_at is not None
         vm = self.vms.get(name)
         if vm is None or vm.state is VmState.DOWN:
-            del self.flights[name]
+            del self.pending_orders[name]
             return
-        # a VM of the spare pool has no worker, before as well as after
-        over = sent_at > flight.answered_at + self.upkeep_s + LAND_MARGIN_S
-        if vm.state is VmState.UP and (vm.worker_id != flight.worker_id or over):
-            del self.flights[name]
+        # a VM of the spare pool has no worker, neither before the order nor after it
+        over = sent_at > pending.answered_at + self.upkeep_s + UPKEEP_MARGIN_S
+        if vm.state is VmState.UP and (vm.worker_id != pending.worker_id or over):
+            del self.pending_orders[name]
 
     def apply_reply(self, order: VmOrder, reply: VmReply, now: float) -> None:
-        """Take in what became of an order.
+        """Record the reply to an order.
 
         :param order: the order.
         :param reply: the platform's reply.
         :param now: monotonic seconds.
         """
-        flight = self.flights.get(order.vm)
-        if flight is None or flight.order != order:
+        pending = self.pending_orders.get(order.vm)
+        if pending is None or pending.order != order:
             return
-        self._ordered[order.vm] = now
+        self._last_ordered_at[order.vm] = now
         _LOG.info(
-            "order on VM answered",
+            "reply to VM order received",
             vm=order.vm,
             kind=order.kind.value,
             wave=order.wave,
@@ -209,7 +215,7 @@
             reply=reply.value,
         )
         if reply is VmReply.UNKNOWN:
-            flight.resend_at = now + RESEND_S
+            pending.resend_at = now + RESEND_S
             return
         if order.kind is VmActionKind.UPKEEP and reply in (
             VmReply.DONE,
@@ -217,39 +223,39 @@
         ):
             self.waves[order.wave].done.add(order.vm)
         if reply is VmReply.DONE:
-            flight.answered_at = now
-            flight.resend_at = None
+            pending.answered_at = now
+            pending.resend_at = None
             return
-        del self.flights[order.vm]
-        self._pauses[order.vm] = now + RESEND_S
+        del self.pending_orders[order.vm]
+        self._paused_until[order.vm] = now + RESEND_S
         if reply is VmReply.INVALID:
-            self._barred.add((order.vm, order.pool))
-            self._pauses[order.vm] = now + REFUSED_PAUSE_S
+            self._refused_moves.add((order.vm, order.pool))
+            self._paused_until[order.vm] = now + REFUSED_PAUSE_S
 
     def find_complete(self) -> list[int]:
-        """List waves of which each VM has begun or left."""
+        """List maintenance waves whose VMs have all started maintenance or are gone."""
         return [
             number
             for number, progress in self.waves.items()
-            if self.vms and not self._list_left(progress)
+            if self.vms and not self._list_remaining(progress)
         ]
 
-    def _list_left(self, progress: WaveProgress) -> list[str]:
+    def _list_remaining(self, progress: WaveProgress) -> list[str]:
         return [
             name
             for name in progress.wave.vms
             if name not in progress.done and name in self.vms
         ]
 
-    def _is_free(self, name: str, now: float) -> bool:
+    def _is_available(self, name: str, now: float) -> bool:
         vm = self.vms[name]
         return (
             vm.state is VmState.UP
-            and name not in self.flights
-            and now >= self._pauses.get(name, 0.0)
+            and name not in self.pending_orders
+            and now >= self._paused_until.get(name, 0.0)
         )
 
-    def _is_empty(self, vm: Vm) -> bool:
+    def _is_drained(self, vm: Vm) -> bool:
         if vm.pool not in self.shards:
             return True
         report = self.reports.get(vm.pool)
@@ -260,27 +266,27 @@
         )
 
     def _cordon(self, vm: Vm, reason: str) -> None:
-        # a name that is used once: a shard's answer to an earlier cordon of the
-        # same worker says nothing of this one
-        self._cordons_made += 1
-        self.cordons[vm.worker_id] = f"{reason}#{self.epoch}.{self._cordons_made}"
+        # the cordon ID is unique: a shard that reported the worker drained under an
+        # earlier cordon says nothing about this one
+        self._cordon_count += 1
+        self.cordons[vm.worker_id] = f"{reason}#{self.epoch}.{self._cordon_count}"
 
     def _is_cordoned(self, vm: Vm, reason: str) -> bool:
         return self.cordons.get(vm.worker_id, "").startswith(reason + "#")
 
-    def _start(self, vm: Vm, order: VmOrder) -> VmOrder:
-        self.flights[vm.name] = Flight(order, vm.worker_id)
+    def _add_pending(self, vm: Vm, order: VmOrder) -> VmOrder:
+        self.pending_orders[vm.name] = PendingOrder(order, vm.worker_id)
         return order
 
     def count_vms(self) -> int:
         """Count the VMs that are not down."""
         return sum(vm.state is not VmState.DOWN for vm in self.vms.values())
 
-    def _count_open(self, pool: str) -> int:
+    def _count_schedulable(self, pool: str) -> int:
         return sum(
             vm.pool == pool
             and vm.state is VmState.UP
             and vm.worker_id not in self.cordons
-            and vm.name not in self.flights
+            and vm.name not in self.pending_orders
             for vm in self.vms.values()
         )
--- a/src/onyxgap/pools/messages.py
+++ b/src/onyxgap/pools/messages.py
@@ -1,4 +1,4 @@
-"""What is known of VMs, what shards report, and what the fleet's holder orders."""
+"""VMs, pool reports of shards, orders to the platform, and their stored forms."""
 
 import enum
 import typing as t
@@ -24,14 +24,14 @@
 class Vm:
     """A VM as the platform lists it.
 
-    :param name: its name, the same for all its lives.
+    :param name: its name, which stays the same when it restarts.
     :param pool: service that it belongs to.
-    :param state: whether it is up.
+    :param state: its state.
     :param zone: availability zone.
     :param rack: rack, or empty.
     :param cpu: thousandths of a core.
     :param memory_mb: memory in MB.
-    :param worker_id: this life of its worker, or empty.
+    :param worker_id: ID of the current incarnation of its worker, or empty.
     """
 
     name: str
@@ -46,12 +46,12 @@
 
 @attrs.frozen(slots=True)
 class Wave:
-    """VMs that are due for maintenance.
+    """Maintenance wave: VMs that are due for maintenance.
 
     :param number: its number.
     :param vms: names of the VMs.
-    :param duration_s: time in which all of them should begin.
-    :param cap: most of them that may be down for it at once.
+    :param duration_s: seconds within which maintenance of all VMs should start.
+    :param cap: most VMs that may be down for maintenance at once.
     """
 
     number: int
@@ -62,11 +62,11 @@
 
 @attrs.frozen(slots=True)
 class WorkerLoad:
-    """What a shard reports of one of its workers.
+    """Load of a worker, as its shard reports it.
 
-    :param runs: runs that may be there.
-    :param serving: those of them that serve until their job is cancelled.
-    :param cpu_used: thousandths of a core that they asked for.
+    :param runs: runs that may be on the worker.
+    :param serving: how many of them serve until their job is cancelled.
+    :param cpu_used: thousandths of a core that the runs request.
     """
 
     runs: int
@@ -76,17 +76,18 @@
 
 @attrs.frozen(slots=True)
 class PoolReport:
-    """What a shard's owner reports to the holder of the fleet duty.
+    """Report of a shard's owner to the fleet controller.
 
     :param shard: the shard.
     :param workers: load by worker.
-    :param emptied: cordons under which nothing runs any more, by worker.
-    :param queued: VMs that ready tasks would fill which must start soon to be in time.
-    :param batch: VMs that running tasks fill which end by themselves.
-    :param serving: VMs that tasks fill which serve until their job is cancelled.
-    :param arrived_jobs: jobs taken in since the owner began.
-    :param offered: work of their tasks that end by themselves, in VM seconds.
-    :param epoch: fencing token of the owner; the counters begin anew with it.
+    :param emptied: cordon ID by worker, for cordoned workers that are drained.
+    :param queued: VMs needed by ready tasks that must start soon to be in time.
+    :param batch: VMs filled by running tasks that end by themselves.
+    :param serving: VMs filled by tasks that serve until their job is cancelled.
+    :param arrived_jobs: jobs accepted since the owner claimed the shard.
+    :param offered: work of the tasks of these jobs that end by themselves, in VM
+        seconds.
+    :param epoch: fencing token of the owner; the counters restart with it.
     """
 
     shard: str
@@ -101,7 +102,7 @@
 
 
 def encode_report(report: PoolReport) -> bytes:
-    """Encode a report for its row."""
+    """Encode a report for the store."""
     value = attrs.asdict(report, recurse=False)
     value["workers"] = {
         worker_id: [load.runs, load.serving, load.cpu_used]
@@ -112,9 +113,9 @@
 
 
 def decode_report(value: bytes) -> PoolReport:
-    """Read a report from its row.
+    """Decode a report from the store.
 
-    :raises DocumentError: when the row is foreign or damaged.
+    :raises DocumentError: when the value is not a report or is corrupt.
     """
     try:
         raw = orjson.loads(value)
@@ -123,11 +124,11 @@
         }
         return PoolReport(**raw)
     except MALFORMED_ERRORS as error:
-        raise DocumentError([Fault("$", f"no report: {error!r}")]) from None
+        raise DocumentError([Fault("$", f"invalid pool report: {error!r}")]) from None
 
 
 class VmActionKind(enum.Enum):
-    """What the platform is asked to do with a VM."""
+    """Action that the platform is ordered to take on a VM."""
 
     UPKEEP = "upkeep"
     MOVE = "move"
@@ -135,12 +136,12 @@
 
 @attrs.frozen(slots=True)
 class VmOrder:
-    """An order about a VM.
+    """Order to the platform about a VM.
 
-    :param vm: its name.
-    :param kind: what is to be done.
-    :param wave: number of the wave, for maintenance.
-    :param pool: pool to join, for a move.
+    :param vm: name of the VM.
+    :param kind: the action.
+    :param wave: number of the maintenance wave, for maintenance.
+    :param pool: target pool, for a move.
     """
 
     vm: str
@@ -150,7 +151,7 @@
 
 
 class VmReply(enum.Enum):
-    """What the platform did with an order about a VM."""
+    """Reply of the platform to an order about a VM."""
 
     DONE = "done"
     STALE_HOLDER = "stale-holder"
@@ -163,13 +164,13 @@
 
 @attrs.frozen(slots=True)
 class FleetRow:
-    """What the holder of the fleet duty stores for shards and successors.
+    """State that the fleet controller stores for shards and for its successor.
 
-    :param cordons: workers to be emptied, each with a name that is used once.
-    :param done: VMs that have begun their maintenance, by wave.
-    :param due: workers of VMs that have not.
-    :param base: VMs of each pool when the first holder began.
-    :param ordered: VMs about which an order may still be under way.
+    :param cordons: workers to be drained, each with a cordon ID that is used once.
+    :param done: VMs whose maintenance has started, by maintenance wave.
+    :param due: workers of VMs whose maintenance is due but has not started.
+    :param base: base size by pool: its VMs when the first fleet controller started.
+    :param ordered: VMs about which an order may still be in flight.
     """
 
     cordons: t.Mapping[str, str] = attrs.field(factory=dict)
@@ -180,7 +181,7 @@
 
 
 def encode_fleet_row(row: FleetRow) -> bytes:
-    """Encode the holder's row."""
+    """Encode the state of the fleet controller for the store."""
     done = {str(number): sorted(names) for number, names in row.done.items()}
     value = {
         "cordons": dict(sorted(row.cordons.items())),
@@ -193,9 +194,9 @@
 
 
 def decode_fleet_row(value: bytes) -> FleetRow:
-    """Read the holder's row.
+    """Decode the state of the fleet controller from the store.
 
-    :raises DocumentError: when the row is foreign or damaged.
+    :raises DocumentError: when the value is not such a state or is corrupt.
     """
     try:
         raw = orjson.loads(value)
@@ -208,17 +209,17 @@
             frozenset(raw["ordered"]),
         )
     except MALFORMED_ERRORS as error:
-        raise DocumentError([Fault("$", f"no fleet row: {error!r}")]) from None
+        raise DocumentError([Fault("$", f"invalid fleet row: {error!r}")]) from None
 
 
 class Cloud(t.Protocol):
-    """The platform's interface to VMs."""
+    """Client of the platform's VM interface."""
 
     async def list_vms(self) -> tuple[Vm, ...]:
         """List all VMs.
 
-        :raises PlatformUnavailableError: when no answer came.
+        :raises PlatformUnavailableError: when the platform does not answer.
         """
 
     async def send(self, order: VmOrder, holder: str, token: int) -> VmReply:
-        """Send an order; repeating one that was done does nothing more."""
+        """Send an order; repeating one that was carried out has no further effect."""
--- a/src/onyxgap/pools/planner.py
+++ b/src/onyxgap/pools/planner.py
@@ -1,8 +1,8 @@
-"""Plans maintenance and moves of VMs; pure state, fed with lists and reports.
+"""Plans maintenance and moves of VMs from VM lists and pool reports, without I/O.
 
-A VM is touched only when nothing runs on it: its worker is cordoned, the shard's
-owner reports it empty, and only then is the order given. VMs of the spare pool
-run nothing and need no cordon.
+An order about a VM is sent only when nothing runs on it: its worker is cordoned, and
+the order follows once the shard's owner reports the worker drained. VMs of the spare
+pool run nothing and need no cordon.
 """
 
 import typing as t
@@ -18,8 +18,8 @@
 from .messages import VmState
 from .waves import WavePlanner
 
-SETTLE_S = 8.0
-"""VMs start within seconds of each other; one that does not is down."""
+STARTUP_TIMEOUT_S = 8.0
+"""All VMs start within seconds of each other. One that is not up by then is down."""
 
 _LOG = structlog.get_logger()
 
@@ -29,35 +29,35 @@
     """Plans maintenance and moves of VMs."""
 
     def plan(self, now: float) -> list[VmOrder]:
-        """Choose orders, and which workers are to be emptied.
+        """Return the orders to send now, and cordon workers to be drained.
 
         :param now: monotonic seconds.
         """
         orders = [
-            flight.order
-            for flight in self.flights.values()
-            if flight.resend_at is not None and now >= flight.resend_at
+            pending.order
+            for pending in self.pending_orders.values()
+            if pending.resend_at is not None and now >= pending.resend_at
         ]
         for order in orders:
-            self.flights[order.vm].resend_at = None
+            self.pending_orders[order.vm].resend_at = None
         for progress in self.waves.values():
             orders += self._plan_wave(progress, now)
         orders += self._plan_moves(now)
         for order in orders:
-            self._ordered[order.vm] = now
+            self._last_ordered_at[order.vm] = now
         return orders
 
     def _plan_moves(self, now: float) -> t.Iterator[VmOrder]:
-        if not self.sizes or not self.spare_pool or not self._is_settled(now):
+        if not self.sizes or not self.spare_pool or not self._is_startup_complete(now):
             return
-        lacks = self._count_lacks()
-        self._cordon_surplus(lacks)
+        shortfalls = self._count_shortfalls()
+        self._cordon_surplus(shortfalls)
         for vm in self._list_movable(now):
-            pool = self._choose_pool(vm, lacks)
+            pool = self._choose_pool(vm, shortfalls)
             if pool == vm.pool:
                 continue
-            if pool in lacks:
-                lacks[pool] -= 1
+            if pool in shortfalls:
+                shortfalls[pool] -= 1
             order = VmOrder(vm.name, VmActionKind.MOVE, pool=pool)
             _LOG.info(
                 "VM moves",
@@ -65,95 +65,101 @@
                 source=vm.pool,
                 pool=pool,
                 wanted=self.sizes.get(pool, 0),
-                open=self._count_open(pool),
+                open=self._count_schedulable(pool),
             )
-            yield self._start(vm, order)
+            yield self._add_pending(vm, order)
 
-    def _is_settled(self, now: float) -> bool:
-        """Tell whether the deployment has started as far as it will.
+    def _is_startup_complete(self, now: float) -> bool:
+        """Tell whether the start-up of the deployment is over.
 
-        VMs that start one after the other would be taken for a lack of VMs.
+        Before that, VMs that are still starting would be counted as a shortfall.
         """
-        if not self._settled and self.vms:
+        if not self._startup_complete and self.vms:
             if self._first_plan_at is None:
                 self._first_plan_at = now
             all_up = all(vm.state is VmState.UP for vm in self.vms.values())
             reported = self.shards <= self.reports.keys()
-            late = self.successor or now - self._first_plan_at > SETTLE_S
-            self._settled = reported and (all_up or late)
-        return self._settled
+            may_proceed = (
+                self.has_predecessor or now - self._first_plan_at > STARTUP_TIMEOUT_S
+            )
+            self._startup_complete = reported and (all_up or may_proceed)
+        return self._startup_complete
 
-    def _count_lacks(self) -> dict[str, int]:
-        """Count the VMs that each pool lacks; negative where it has too many."""
-        lacks = {}
+    def _count_shortfalls(self) -> dict[str, int]:
+        """Count the VMs that each pool lacks; negative if it has a surplus."""
+        shortfalls = {}
         for pool, wanted in self.sizes.items():
-            coming = sum(
-                flight.order.kind is VmActionKind.MOVE and flight.order.pool == pool
-                for flight in self.flights.values()
+            incoming = sum(
+                pending.order.kind is VmActionKind.MOVE and pending.order.pool == pool
+                for pending in self.pending_orders.values()
             )
-            mending = sum(
+            returning = sum(
                 vm.pool == pool
                 and (
                     vm.state in (VmState.UPKEEP, VmState.MOVING)
                     or self._is_cordoned(vm, UPKEEP_REASON)
                 )
-                and not self._is_leaving(vm)
+                and not self._has_pending_move(vm)
                 for vm in self.vms.values()
             )
-            lacks[pool] = wanted - self._count_open(pool) - coming - mending
-        return lacks
+            shortfalls[pool] = (
+                wanted - self._count_schedulable(pool) - incoming - returning
+            )
+        return shortfalls
 
-    def _is_leaving(self, vm: Vm) -> bool:
-        flight = self.flights.get(vm.name)
-        return flight is not None and flight.order.kind is VmActionKind.MOVE
+    def _has_pending_move(self, vm: Vm) -> bool:
+        pending = self.pending_orders.get(vm.name)
+        return pending is not None and pending.order.kind is VmActionKind.MOVE
 
-    def _cordon_surplus(self, lacks: t.Mapping[str, int]) -> None:
-        for pool, lack in lacks.items():
-            leaving = [
+    def _cordon_surplus(self, shortfalls: t.Mapping[str, int]) -> None:
+        for pool, shortfall in shortfalls.items():
+            cordoned = [
                 vm
                 for vm in self.vms.values()
                 if vm.pool == pool
                 and self._is_cordoned(vm, MOVE_REASON)
-                and vm.name not in self.flights
+                and vm.name not in self.pending_orders
             ]
-            if lack > 0:
-                for vm in leaving[:lack]:
+            if shortfall > 0:
+                for vm in cordoned[:shortfall]:
                     del self.cordons[vm.worker_id]
-            elif lack < 0:
-                self._cordon_idle(pool, -lack)
+            elif shortfall < 0:
+                self._cordon_least_loaded(pool, -shortfall)
 
-    def _cordon_idle(self, pool: str, count: int) -> None:
+    def _cordon_least_loaded(self, pool: str, count: int) -> None:
         report = self.reports.get(pool)
         if report is None:
             return
-        idle = []
+        candidates = []
         for vm in self.vms.values():
             load = report.workers.get(vm.worker_id)
             if vm.pool != pool or vm.state is not VmState.UP or load is None:
                 continue
-            if vm.worker_id in self.cordons or vm.name in self.flights:
+            if vm.worker_id in self.cordons or vm.name in self.pending_orders:
                 continue
             if not load.serving:
-                idle.append((load.runs, load.cpu_used, vm.name, vm))
-        for *_, vm in sorted(idle, key=lambda item: item[:3])[:count]:
+                candidates.append((load.runs, load.cpu_used, vm.name, vm))
+        for *_, vm in sorted(candidates, key=lambda item: item[:3])[:count]:
             self._cordon(vm, MOVE_REASON)
 
     def _list_movable(self, now: float) -> list[Vm]:
-        """List VMs that may move now, those that are off first."""
+        """List VMs that can be moved now, VMs of the spare pool first."""
         movable = [
             vm
             for vm in self.vms.values()
-            if self._is_free(vm.name, now)
-            and self._is_empty(vm)
+            if self._is_available(vm.name, now)
+            and self._is_drained(vm)
             and (vm.pool == self.spare_pool or self._is_cordoned(vm, MOVE_REASON))
         ]
         return sorted(movable, key=lambda vm: (vm.pool != self.spare_pool, vm.name))
 
-    def _choose_pool(self, vm: Vm, lacks: t.Mapping[str, int]) -> str:
-        """Choose the pool that lacks most, else the spare pool."""
-        wanting = [
-            (-lack, pool)
-            for pool, lack in lacks.items()
-            if lack > 0 and pool != vm.pool and (vm.name, pool) not in self._barred
+    def _choose_pool(self, vm: Vm, shortfalls: t.Mapping[str, int]) -> str:
+        """Choose the pool with the largest shortfall, else the spare pool."""
+        candidates = [
+            (-shortfall, pool)
+            for pool, shortfall in shortfalls.items()
+            if shortfall > 0
+            and pool != vm.pool
+            and (vm.name, pool) not in self._refused_moves
         ]
-        return min(wanting)[1] if wanting else self.spare_pool
+        return min(candidates)[1] if candidates else self.spare_pool
