--- a/src/onyxgap/jobs/encoding.py
+++ b/src/onyxgap/jobs/encoding.py
@@ -1,4 +1,4 @@
-"""The stored form of a job's progress: what must survive its owner."""
+"""Encodes the stored progress of jobs, which a new owner restores after a claim."""
 
 import typing as t
 
@@ -27,24 +27,28 @@
         task.worker_id,
         task.failures,
         task.checkpoint,
-        *_encode_suspicion(task.suspicion),
+        *_encode_loss_history(task.suspicion),
     ]
 
 
-def _encode_suspicion(suspicion: Suspicion) -> tuple[int, ...]:
+def _encode_loss_history(suspicion: Suspicion) -> tuple[int, ...]:
     if suspicion is NO_SUSPICION:
         return ()
     return attrs.astuple(suspicion)
 
 
 def encode_progress(job: Job) -> bytes:
-    """Encode what must survive the owner of a job.
+    """Encode the progress of a job for the store.
+
+    Final jobs are stored without their tasks.
 
     :param job: the job.
     """
     occurrences = {
-        str(number): [[_encode_task(task) for task in tasks] for tasks in item.steps]
-        for number, item in job.occurrences.items()
+        str(number): [
+            [_encode_task(task) for task in tasks] for tasks in occurrence.steps
+        ]
+        for number, occurrence in job.occurrences.items()
     }
     if job.state.final:
         occurrences = {}
@@ -61,9 +65,9 @@
 
 
 def decode_status(value: bytes) -> JobStatus:
-    """Read only what is shown of a stored job.
+    """Decode only the state and the tenant of a stored job.
 
-    :param value: what :func:`encode_progress` gave.
+    :param value: result of :func:`encode_progress`.
     """
     raw = orjson.loads(value)
     return JobStatus(JobState(raw["state"]), raw.get("tenant", ""))
@@ -75,17 +79,17 @@
         return
     if not raw:
         return
-    phase, task.run, task.worker_id, task.failures, task.checkpoint, *crashes = raw
+    phase, task.run, task.worker_id, task.failures, task.checkpoint, *losses = raw
     task.phase = TaskPhase(phase)
-    if crashes:
-        task.suspicion = Suspicion(*crashes)
+    if losses:
+        task.suspicion = Suspicion(*losses)
 
 
 def restore_job(submission: Submission, value: bytes | None) -> Job:
-    """Rebuild a job from its stored rows.
+    """Restore a job from its stored rows.
 
-    :param submission: the immutable part.
-    :param value: its progress, or ``None`` before any was stored.
+    :param submission: the submission, which never changes.
+    :param value: result of :func:`encode_progress`, ``None`` if no progress is stored.
     """
     job = Job(submission)
     if value is None:
@@ -95,9 +99,9 @@
     job.finished = raw["finished"]
     job.next_occurrence = raw["next"]
     job.started = raw.get("begun", job.finished > 0)
-    for text, steps in raw["open"].items():
-        occurrence = build_occurrence(submission, int(text))
-        job.occurrences[int(text)] = occurrence
+    for key, steps in raw["open"].items():
+        occurrence = build_occurrence(submission, int(key))
+        job.occurrences[int(key)] = occurrence
         for number, tasks in enumerate(steps):
             for task, stored in zip(occurrence.steps[number], tasks, strict=True):
                 _restore_task(task, stored)
--- a/src/onyxgap/jobs/notices.py
+++ b/src/onyxgap/jobs/notices.py
@@ -1,8 +1,8 @@
-"""Notices between nodes: they save time and are never relied on.
+"""Best-effort notices between nodes, which reduce latency only.
 
-The store's rows are the truth. A notice that is lost costs the time that the feed of
-changes or the silence of an owner takes; one that is late or untrue changes nothing,
-since what follows from it is read from the store, or fenced by it.
+The rows in the store are authoritative. If a notice is lost, nodes wait for the change
+feed or for the time-out of an owner instead. A late or wrong notice does no harm, since
+its receiver reads the store or makes a claim that the store fences.
 """
 
 import typing as t
@@ -12,10 +12,10 @@
 
 @attrs.frozen(slots=True)
 class JobNotice:
-    """A job or its cancelling was stored; tells the owner, in case the feed is late.
+    """Tells an owner that a job or a cancellation was stored, in case its feed is late.
 
-    :param shard: its shard.
-    :param key: key of the row that was stored.
+    :param shard: shard of the job.
+    :param key: key of the stored row.
     """
 
     shard: str
@@ -24,11 +24,13 @@
 
 @attrs.frozen(slots=True)
 class HandOver:
-    """An owner cannot reach the store, or its VM is small; others may claim the shard.
+    """Allows other nodes to claim a shard before the time-out of its owner.
+
+    Sent if the owner cannot reach the store, runs on a small VM or lags.
 
     :param shard: the shard.
     :param boot: unique id of the owner's process.
-    :param epoch: its fencing token.
+    :param epoch: fencing token of the owner.
     """
 
     shard: str
@@ -38,11 +40,11 @@
 
 @attrs.frozen(slots=True)
 class ConfigurationQuestion:
-    """A node that does not hear the store asks for the newest configuration.
+    """Asks for the newest configuration; sent by a node that cannot reach the store.
 
-    :param sender: address of the asking node.
-    :param asked: number of the question, for the asking node.
-    :param version: version that it has in force.
+    :param sender: address of the requesting node.
+    :param asked: request number, unique within the requesting node.
+    :param version: version in force on the requesting node.
     """
 
     sender: str
@@ -52,14 +54,14 @@
 
 @attrs.frozen(slots=True)
 class ConfigurationPart:
-    """A part of the answer to such a question.
-
-    :param asked: number of the question.
-    :param version: version that the answering node has in force.
-    :param age_ms: time since it was known to be the newest.
-    :param part: number of the part, from 0.
-    :param parts: how many there are; 0 where the asking node needs none.
-    :param content: the part.
+    """Part of the answer to a :class:`ConfigurationQuestion`.
+
+    :param asked: request number of the question.
+    :param version: version in force on the answering node.
+    :param age_ms: milliseconds since it was last known to be the newest version.
+    :param part: index of the part, from 0.
+    :param parts: number of parts, 0 if the requesting node needs no content.
+    :param content: encoded content of the part.
     """
 
     asked: int
@@ -75,28 +77,28 @@
 
 
 class Peers(t.Protocol):
-    """Sends notices to other nodes and takes theirs in."""
+    """Sends and receives notices of nodes."""
 
     def get_address(self) -> str:
-        """Give the address under which others reach this node, or an empty text."""
+        """Return the address for notices to this node, or an empty string."""
 
     def send(self, address: str, notice: Notice) -> None:
-        """Send a notice to one node; never waits, never fails."""
+        """Send a notice to a node without waiting; errors are not raised."""
 
     async def run(self, on_notice: OnNotice) -> None:
-        """Take in notices until cancelled."""
+        """Receive notices until cancelled."""
 
 
 @attrs.define
 class NoPeers:
-    """Stands where nodes cannot reach each other."""
+    """Null implementation of :class:`Peers` for nodes that exchange no notices."""
 
     def get_address(self) -> str:
-        """Give no address."""
+        """Return an empty address."""
         return ""
 
     def send(self, address: str, notice: Notice) -> None:
-        """Send nothing."""
+        """Discard the notice."""
 
     async def run(self, on_notice: OnNotice) -> None:
-        """Take in nothing."""
+        """Receive nothing."""
--- a/src/onyxgap/jobs/store.py
+++ b/src/onyxgap/jobs/store.py
@@ -1,21 +1,21 @@
-"""What must last: rows in a transactional store, and how a write may end."""
+"""Interface of the transactional store: rows, conditional writes and their outcomes."""
 
 import typing as t
 
 import attrs
 
 WRITE_TIMEOUT_S = 1.0
-"""Longest wait for a write, where nothing is known of the store's speed."""
+"""Default timeout of a write, used when the store's latency is not known."""
 ABSENT = 0
-"""Version of a row that does not exist."""
+"""Version of a row that does not exist, as a condition of a batch."""
 
 
 @attrs.frozen(slots=True)
 class RowId:
-    """Identity of a row.
+    """Identifier of a row.
 
     :param table: name of the table.
-    :param part: partition; the rows of one transaction share it.
+    :param part: partition; all rows of a transaction must be in the same one.
     :param key: key within the partition.
     """
 
@@ -26,12 +26,12 @@
 
 @attrs.frozen(slots=True)
 class StoredRow:
-    """A row as it was read.
+    """A row as read from the store.
 
-    :param row_id: its identity.
-    :param value: its bytes; empty for a row that was removed.
+    :param row_id: identifier of the row.
+    :param value: value of the row, empty if it was removed.
     :param version: version of its last change.
-    :param removed: whether the row is gone.
+    :param removed: whether the row was removed.
     """
 
     row_id: RowId
@@ -42,9 +42,9 @@
 
 @attrs.frozen(slots=True)
 class Batch:
-    """Writes that apply together, under conditions, or not at all.
+    """Writes and removals that are applied atomically if all conditions hold.
 
-    :param expected: version that each of these rows must have.
+    :param expected: required version of each of these rows.
     :param puts: rows to write.
     :param removals: rows to remove.
     """
@@ -58,7 +58,7 @@
 class Applied:
     """The batch was applied.
 
-    :param version: version of every row that it wrote.
+    :param version: new version of all rows that it wrote.
     """
 
     version: int
@@ -66,15 +66,15 @@
 
 @attrs.frozen(slots=True)
 class Conflict:
-    """A condition failed and nothing was written.
+    """A condition failed; nothing was written.
 
-    :param rows: the present rows among those with a condition.
+    :param rows: the current rows among those with a condition.
     """
 
     rows: tuple[StoredRow, ...]
 
     def find(self, row_id: RowId) -> StoredRow | None:
-        """Find the present state of a row with a condition."""
+        """Return the current state of a row with a condition, ``None`` if absent."""
         for row in self.rows:
             if row.row_id == row_id and not row.removed:
                 return row
@@ -83,9 +83,9 @@
 
 @attrs.frozen(slots=True)
 class NotApplied:
-    """The store refused the batch; nothing was written.
+    """The store rejected the batch; nothing was written.
 
-    :param reason: one phrase for the log.
+    :param reason: short reason for the log.
     """
 
     reason: str
@@ -93,9 +93,9 @@
 
 @attrs.frozen(slots=True)
 class OutcomeUnknown:
-    """No answer came; the batch may be applied, now or seconds later.
+    """The store did not answer; the batch may be applied now, seconds later or never.
 
-    :param reason: one phrase for the log.
+    :param reason: short reason for the log.
     """
 
     reason: str
@@ -106,11 +106,11 @@
 
 @attrs.frozen(slots=True)
 class Page:
-    """Rows that were read at one moment.
+    """Result of a consistent read.
 
-    :param rows: in key order, or in order of change for a feed.
-    :param version: newest version of the whole store at that moment.
-    :param now_ms: the store's monotonic clock.
+    :param rows: in key order, or in the order of their changes for a change feed.
+    :param version: newest version of the whole store at the time of the read.
+    :param now_ms: milliseconds of the store's monotonic clock at that time.
     """
 
     rows: tuple[StoredRow, ...]
@@ -119,28 +119,31 @@
 
 
 class Store(t.Protocol):
-    """A transactional store of rows with a feed of changes."""
+    """A transactional row store with a change feed."""
 
     async def write(
         self, batch: Batch, timeout_s: float = WRITE_TIMEOUT_S
     ) -> WriteOutcome:
-        """Try a batch once; never raises for a failed call."""
+        """Attempt a batch once; failed calls are returned as outcomes, not raised."""
 
     async def read(self, table: str, part: str, key: str = "") -> Page:
-        """Read a partition, or one row of it.
+        """Read a partition, or one of its rows.
 
-        :raises PlatformUnavailableError: when no answer came.
+        :raises PlatformUnavailableError: if the store does not answer.
         """
 
     async def list_parts(self, table: str) -> tuple[str, ...]:
-        """List the partitions of a table.
+        """Return the partitions of a table.
 
-        :raises PlatformUnavailableError: when no answer came.
+        :raises PlatformUnavailableError: if the store does not answer.
         """
 
     async def follow(self, table: str, after: int, wait_s: float) -> Page:
-        """Wait for changes of a table after a version.
+        """Wait for changes of a table that are newer than a version.
 
-        :raises HistoryLostError: when the store no longer has the changes.
-        :raises PlatformUnavailableError: when no answer came.
+        :param table: name of the table.
+        :param after: version after which changes are returned.
+        :param wait_s: maximum wait in seconds.
+        :raises HistoryLostError: if the store no longer has all of these changes.
+        :raises PlatformUnavailableError: if the store does not answer.
         """
--- a/src/onyxgap/jobs/tables.py
+++ b/src/onyxgap/jobs/tables.py
@@ -1,4 +1,4 @@
-"""Where the product keeps its rows, and what the owner rows hold."""
+"""Layout of the store: tables, partitions and row keys, and the owner row format."""
 
 import typing as t
 import zlib
@@ -10,11 +10,12 @@
 from .store import RowId
 
 JOB_TABLES = 32
-"""Tables that the shards share; a shard's owner follows only its own."""
+"""Number of tables for submissions. Each shard is assigned to one of them, and its
+owner follows only that table."""
 JOB_PARTS = 32
-"""Partitions of a shard's submissions, so that a busy service goes on accepting while
-the store is slow and does a few transactions a second in each. A claim reads them all,
-at the same time."""
+"""Number of partitions for the submissions of a shard. A slow store completes only a
+few transactions per second in each; with this many, a busy service still accepts jobs.
+A claim reads all of them concurrently."""
 PROGRESS_TABLE = "onyxgap-progress"
 OWNER_TABLE = "onyxgap-owners"
 FENCE_TABLE = "onyxgap-fences"
@@ -25,100 +26,101 @@
 TURNS_TABLE = "onyxgap-turns"
 SHARE_TABLE = "onyxgap-shares"
 SHARE_PARTS = 16
-"""Partitions of the rows of tenants; a store writes a few hundred a second in each."""
+"""Number of partitions for the rows of tenants. The store handles a few hundred writes
+per second in each."""
 FLEET_SHARD = "~fleet"
-"""Shard of the fleet duty; no service has such a name."""
+"""Reserved shard of the fleet controller role; no service can have this name."""
 CANCEL_SUFFIX = ".cancel"
 
 
 def get_job_table(shard: str) -> str:
-    """Give the table that holds the submissions of a shard."""
+    """Return the table that contains the submissions of a shard."""
     return f"onyxgap-jobs-{zlib.crc32(shard.encode()) % JOB_TABLES}"
 
 
 def get_job_part(shard: str, job_id: str) -> str:
-    """Give the partition of a submission.
+    """Return the partition of a submission.
 
-    Submissions are spread, so that many of them neither wait for each other nor
+    Submissions are distributed, so that many of them wait neither for each other nor
     for the owner's writes, even when the store is slow.
     """
     return f"{shard}/{zlib.crc32(job_id.encode()) % JOB_PARTS}"
 
 
 def list_job_parts(shard: str) -> tuple[str, ...]:
-    """List the partitions that hold the submissions of a shard."""
+    """Return the partitions that contain the submissions of a shard."""
     return tuple(f"{shard}/{number}" for number in range(JOB_PARTS))
 
 
 def get_job_row(shard: str, job_id: str) -> RowId:
-    """Give the row of a submission."""
+    """Return the row of a submission."""
     return RowId(get_job_table(shard), get_job_part(shard, job_id), job_id)
 
 
 def get_cancel_row(shard: str, job_id: str) -> RowId:
-    """Give the row that says that a job is cancelled."""
+    """Return the row that marks a job as cancelled."""
     row = get_job_row(shard, job_id)
     return RowId(row.table, row.part, job_id + CANCEL_SUFFIX)
 
 
 def get_progress_row(shard: str, job_id: str) -> RowId:
-    """Give the row of a job's progress."""
+    """Return the row of a job's progress."""
     return RowId(PROGRESS_TABLE, shard, job_id)
 
 
 def list_share_parts() -> tuple[str, ...]:
-    """List the partitions that hold the shares of tenants' caps."""
+    """Return the partitions that contain the shares of the tenants' caps."""
     return tuple(f"~shares/{number}" for number in range(SHARE_PARTS))
 
 
 def get_share_row(tenant: str) -> RowId:
-    """Give the row that tells how shards share a tenant's cap."""
+    """Return the row that divides a tenant's cap among shards."""
     part = f"~shares/{zlib.crc32(tenant.encode()) % SHARE_PARTS}"
     return RowId(SHARE_TABLE, part, tenant)
 
 
 def get_owner_row(shard: str) -> RowId:
-    """Give the row that tells who owns a shard."""
+    """Return the row that names the owner of a shard."""
     return RowId(OWNER_TABLE, shard, "owner")
 
 
 def get_fence_row(shard: str) -> RowId:
-    """Give the row whose version every write of an owner expects."""
+    """Return the fence row, whose version is a condition of every write of an owner."""
     return RowId(FENCE_TABLE, shard, "fence")
 
 
 def get_report_row(shard: str) -> RowId:
-    """Give the row in which a shard's owner reports its load."""
+    """Return the row in which the owner of a shard reports the shard's load."""
     return RowId(REPORT_TABLE, shard, "report")
 
 
 def get_fleet_row() -> RowId:
-    """Give the row in which the holder of the fleet duty keeps its state."""
+    """Return the row with the state of the fleet controller."""
     return RowId(FLEET_TABLE, FLEET_SHARD, "state")
 
 
 def get_turns_row() -> RowId:
-    """Give the row in which the holder keeps what it learned of demand."""
+    """Return the row with the demand history of the fleet controller."""
     return RowId(TURNS_TABLE, FLEET_SHARD, "turns")
 
 
 def get_member_row(node: str) -> RowId:
-    """Give the row that tells under which address a node takes notices."""
+    """Return the row in which a node registers its addresses and VM size."""
     return RowId(MEMBER_TABLE, MEMBER_PART, node)
 
 
 @attrs.frozen(slots=True)
 class OwnerRow:
-    """Who owns a shard, renewed as a heartbeat.
+    """Ownership record of a shard, renewed by the owner as a heartbeat.
 
-    :param node: name of the node.
+    :param node: name of the owning node.
     :param boot: unique id of its process.
     :param epoch: fencing token.
-    :param beat: rises with each renewal.
-    :param released: whether the owner gave the shard up.
+    :param beat: sequence number that increases with each renewal.
+    :param released: whether the owner released the shard.
     :param waiting: number of jobs that have not started, by queue; ``None`` until the
         owner has counted them.
-    :param outlook: how long its line is; see :mod:`.admission`.
+    :param outlook: estimate of the shard's queueing delays; see :mod:`.admission`.
     """
 
     node: str
@@ -140,8 +142,8 @@
 
 
 def decode_owner(value: bytes) -> OwnerRow:
-    """Read an owner row.
+    """Decode an owner row.
 
-    :raises DocumentError: when the row is foreign or damaged.
+    :raises DocumentError: if the row is malformed or has another format.
     """
     return decode_document(value, OwnerRow)
