--- a/src/onyxgap/jobs/passing.py
+++ b/src/onyxgap/jobs/passing.py
@@ -1,8 +1,9 @@
-"""Calls that a node cannot answer without the store, passed on to one that hears it.
+"""Forwards calls from nodes that cannot reach the store to nodes that can.
 
-Answers a store that turns some nodes away, or cannot be reached by them, while it
-serves the others: their callers would be refused, though there is room for their jobs.
-The other node answers as for a caller of its own and passes nothing on.
+The store may reject or be unreachable for some nodes while it serves the others.
+Without forwarding, callers of those nodes would be refused although there is capacity
+for their jobs. The other node answers a forwarded call like one of its own callers and
+does not forward it again.
 """
 
 import enum
@@ -14,18 +15,19 @@
 from .desk import SubmitOutcome
 from .members import Member
 
-MOST_TRIES = 3
-"""Nodes that are asked for one call: with half of all nodes turned away seven of eight
-calls find one that is not."""
-UNABLE_S = 1.0
-"""Time for which a node that could not help is not asked again."""
-HOPELESS = 8
-"""Nodes found unable one after the other, after which the store counts as away from
-all: calls are then refused at once until one of these may be asked again."""
+MAX_PEERS_PER_CALL = 3
+"""Maximum number of nodes that are asked for one call. If the store rejects half of all
+nodes, seven of eight calls still reach one that it serves."""
+PEER_RETRY_S = 1.0
+"""Time for which a node that could not answer is not asked again."""
+FAILURES_UNTIL_UNREACHABLE = 8
+"""Consecutive failures of other nodes after which the store counts as unreachable for
+all of them. Calls are then refused immediately until one of these nodes may be
+asked again."""
 
 
 class CallKind(enum.Enum):
-    """What a caller asked for."""
+    """Operation that a caller requested."""
 
     SUBMIT = "submit"
     STATE = "state"
@@ -34,14 +36,14 @@
 
 @attrs.frozen(slots=True)
 class PassedCall:
-    """A caller's call as one node passes it on to another.
+    """A call that one node forwards to another on behalf of a caller.
 
-    :param kind: what was asked for.
-    :param job_id: the job.
-    :param tenant: tenant of the caller, or empty.
+    :param kind: the requested operation.
+    :param job_id: id of the job.
+    :param tenant: tenant of the caller, or an empty string.
     :param queue: name of the queue.
-    :param service: pool whose workers run its jobs.
-    :param submission: the job as it would be stored, empty for other calls.
+    :param service: pool whose workers run the jobs of the queue.
+    :param submission: the encoded submission, empty for other operations.
     """
 
     kind: CallKind
@@ -54,11 +56,11 @@
 
 @attrs.frozen(slots=True)
 class PassedAnswer:
-    """The answer to such a call.
+    """Answer to a forwarded call.
 
-    :param outcome: value of its kind's outcome, or :data:`UNABLE`.
-    :param reason: for the caller and the log.
-    :param retry_after_s: when a refused caller should come back.
+    :param outcome: outcome of the operation, or :data:`UNABLE`.
+    :param reason: reason for the caller and the log.
+    :param retry_after_s: seconds after which a refused caller should retry.
     """
 
     outcome: str
@@ -67,74 +69,75 @@
 
 
 UNABLE = "unable"
-"""Outcome of a call that the other node could not answer, and has not begun."""
+"""Outcome of a call that the other node could not answer and did not begin."""
 
 
 class PassFailure(enum.Enum):
-    """How far a call got that has no answer."""
+    """How far a forwarded call without an answer got."""
 
     NOT_SENT = "not-sent"
     NO_ANSWER = "no-answer"
 
 
 class CallLink(t.Protocol):
-    """Carries calls between nodes."""
+    """Transport for forwarded calls between nodes."""
 
     def get_address(self) -> str:
-        """Give the address under which others pass calls on, or an empty text."""
+        """Return the address for calls to this node, or an empty string."""
 
     async def ask(
         self, address: str, call: PassedCall, timeout_s: float
     ) -> PassedAnswer | PassFailure:
-        """Pass a call on to one node; never raises for a failed call."""
+        """Forward a call to a node; failures are returned, not raised."""
 
     async def run(
         self, answer: t.Callable[[PassedCall], t.Awaitable[PassedAnswer]]
     ) -> None:
-        """Answer the calls of others until cancelled."""
+        """Answer calls from other nodes until cancelled."""
 
 
 @attrs.define
 class NoCallLink:
-    """Stands where calls are not passed on."""
+    """Null implementation of :class:`CallLink` for nodes that do not forward calls."""
 
     def get_address(self) -> str:
-        """Give no address."""
+        """Return an empty address."""
         return ""
 
     async def ask(
         self, address: str, call: PassedCall, timeout_s: float
     ) -> PassedAnswer | PassFailure:
-        """Pass nothing on."""
+        """Return that the call was not sent."""
         return PassFailure.NOT_SENT
 
     async def run(
         self, answer: t.Callable[[PassedCall], t.Awaitable[PassedAnswer]]
     ) -> None:
-        """Answer nothing."""
+        """Answer no calls."""
 
 
 @attrs.define
 class Helpers:
-    """Chooses the nodes to which calls are passed on.
+    """Selects the nodes to which calls are forwarded.
 
     :param node: name of this node.
-    :param members: all nodes.
-    :param draw: draws some of several addresses, to spread the calls over them.
+    :param members: all nodes by name.
+    :param sample: random sampling function, which distributes the calls.
     """
 
     node: str
     members: t.Mapping[str, Member]
-    draw: t.Callable[[t.Sequence[str], int], list[str]]
-    _unable_until: dict[str, float] = attrs.field(factory=dict)
-    _in_a_row: int = 0
-    _hopeless_until: float = -math.inf
+    sample: t.Callable[[t.Sequence[str], int], list[str]]
+    _retry_at: dict[str, float] = attrs.field(factory=dict)
+    _consecutive_failures: int = 0
+    _unreachable_until: float = -math.inf
 
     def choose(self, now: float) -> list[str]:
-        """Choose whom to ask, in this order; nobody while nobody is able.
+        """Return the nodes to ask for a call.
 
         :param now: monotonic seconds.
-        :returns: addresses.
+        :returns: addresses in the order in which to ask them; empty while the store
+            counts as unreachable.
         """
         if self.is_hopeless(now):
             return []
@@ -143,55 +146,55 @@
             for name, member in self.members.items()
             if name != self.node
             and member.call_address
-            and self._unable_until.get(member.call_address, 0.0) <= now
+            and self._retry_at.get(member.call_address, 0.0) <= now
         ]
-        return self.draw(addresses, min(MOST_TRIES, len(addresses)))
+        return self.sample(addresses, min(MAX_PEERS_PER_CALL, len(addresses)))
 
     def is_hopeless(self, now: float) -> bool:
-        """Tell whether the store is away from all, as far as others told.
+        """Return whether the store counts as unreachable for all nodes.
 
         :param now: monotonic seconds.
         """
-        return now < self._hopeless_until
+        return now < self._unreachable_until
 
     def note_able(self, address: str) -> None:
-        """Take in that a node answered."""
-        self._unable_until.pop(address, None)
-        self._in_a_row = 0
+        """Record that a node answered a forwarded call."""
+        self._retry_at.pop(address, None)
+        self._consecutive_failures = 0
 
     def note_unable(self, address: str, now: float) -> None:
-        """Take in that a node could not help.
+        """Record that a node could not answer a forwarded call.
 
-        :param address: its address.
+        :param address: address of the node.
         :param now: monotonic seconds.
         """
-        self._unable_until[address] = now + UNABLE_S
-        self._in_a_row += 1
-        if self._in_a_row >= HOPELESS:
-            # one try after that shows whether it is still so
-            self._hopeless_until = now + UNABLE_S
-            self._in_a_row = HOPELESS - 1
+        self._retry_at[address] = now + PEER_RETRY_S
+        self._consecutive_failures += 1
+        if self._consecutive_failures >= FAILURES_UNTIL_UNREACHABLE:
+            # one more failure after that shows that it is still unreachable
+            self._unreachable_until = now + PEER_RETRY_S
+            self._consecutive_failures = FAILURES_UNTIL_UNREACHABLE - 1
 
 
-_CERTAIN = frozenset(
+_DEFINITE_OUTCOMES = frozenset(
     {
         SubmitOutcome.ACCEPTED,
         SubmitOutcome.OTHER_REQUEST,
         SubmitOutcome.OTHER_TENANT,
     }
 )
-"""Outcomes that hold whatever became of earlier tries."""
+"""Outcomes that hold regardless of the outcome of earlier attempts."""
 
 
 def join_outcomes(earlier: SubmitOutcome, later: SubmitOutcome) -> SubmitOutcome:
-    """Give the outcome of two tries of one submission.
+    """Return the combined outcome of two attempts to submit one job.
 
-    A refusal says that the job never runs: it does not hold while an earlier try may
-    have stored it.
+    A refusal means that the job will never run, so it does not hold if an earlier
+    attempt may have stored the job.
 
-    :param earlier: outcome of the tries so far.
-    :param later: outcome of the newest.
+    :param earlier: combined outcome of the previous attempts.
+    :param later: outcome of the latest attempt.
     """
-    if earlier is SubmitOutcome.UNKNOWN and later not in _CERTAIN:
+    if earlier is SubmitOutcome.UNKNOWN and later not in _DEFINITE_OUTCOMES:
         return SubmitOutcome.UNKNOWN
     return later
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -1,4 +1,4 @@
-"""Calls that are passed on while the store turns some nodes away."""
+"""Tests the forwarding of calls while the store rejects some nodes."""
 
 import random
 import typing as t
@@ -15,10 +15,10 @@
 from onyxgap.exceptions import FrameError
 from onyxgap.jobs.desk import SubmitOutcome
 from onyxgap.jobs.members import Member
-from onyxgap.jobs.passing import HOPELESS
-from onyxgap.jobs.passing import MOST_TRIES
+from onyxgap.jobs.passing import FAILURES_UNTIL_UNREACHABLE
+from onyxgap.jobs.passing import MAX_PEERS_PER_CALL
+from onyxgap.jobs.passing import PEER_RETRY_S
 from onyxgap.jobs.passing import UNABLE
-from onyxgap.jobs.passing import UNABLE_S
 from onyxgap.jobs.passing import CallKind
 from onyxgap.jobs.passing import Helpers
 from onyxgap.jobs.passing import PassedAnswer
@@ -36,41 +36,41 @@
 CALL = PassedCall(CallKind.SUBMIT, "a" * 16, "north", "q", "s", b"body")
 
 
-def build_helpers(count: int) -> Helpers:
+def build_peer_selector(count: int) -> Helpers:
     members = {f"n{number}": Member("", 0, f"n{number}:1") for number in range(count)}
     members["old"] = Member("old:1")
     return Helpers("n0", members, random.Random(1).sample)
 
 
-def test_calls_are_spread_over_all_others() -> None:
-    helpers = build_helpers(12)
-    asked = {address for _ in range(200) for address in helpers.choose(10.0)}
+def test_calls_are_distributed_over_all_other_nodes() -> None:
+    selector = build_peer_selector(12)
+    asked = {address for _ in range(200) for address in selector.choose(10.0)}
     assert asked == {f"n{number}:1" for number in range(1, 12)}
-    assert len(helpers.choose(10.0)) == MOST_TRIES
+    assert len(selector.choose(10.0)) == MAX_PEERS_PER_CALL
 
 
-def test_node_that_could_not_help_is_left_out_for_a_while() -> None:
-    helpers = build_helpers(3)
-    helpers.note_unable("n1:1", 10.0)
-    assert helpers.choose(10.0) == ["n2:1"]
-    assert sorted(helpers.choose(10.0 + UNABLE_S)) == ["n1:1", "n2:1"]
+def test_node_that_failed_to_answer_is_skipped_for_a_while() -> None:
+    selector = build_peer_selector(3)
+    selector.note_unable("n1:1", 10.0)
+    assert selector.choose(10.0) == ["n2:1"]
+    assert sorted(selector.choose(10.0 + PEER_RETRY_S)) == ["n1:1", "n2:1"]
 
 
-def test_nobody_is_asked_while_the_store_is_away_from_all() -> None:
-    helpers = build_helpers(40)
-    for number in range(1, HOPELESS + 1):
-        assert helpers.choose(10.0)
-        helpers.note_unable(f"n{number}:1", 10.0)
-    assert helpers.choose(10.0) == []
-    assert helpers.is_hopeless(10.0)
-    # one that is still unable suffices then
-    assert helpers.choose(10.0 + UNABLE_S)
-    helpers.note_unable("n9:1", 10.0 + UNABLE_S)
-    assert helpers.choose(10.0 + UNABLE_S) == []
-    assert helpers.choose(10.0 + 2 * UNABLE_S)
-    helpers.note_able("n10:1")
-    helpers.note_unable("n9:1", 20.0)
-    assert helpers.choose(20.0)
+def test_no_node_is_asked_while_the_store_is_unreachable_for_all() -> None:
+    selector = build_peer_selector(40)
+    for number in range(1, FAILURES_UNTIL_UNREACHABLE + 1):
+        assert selector.choose(10.0)
+        selector.note_unable(f"n{number}:1", 10.0)
+    assert selector.choose(10.0) == []
+    assert selector.is_hopeless(10.0)
+    # after the pause, a single further failure suffices
+    assert selector.choose(10.0 + PEER_RETRY_S)
+    selector.note_unable("n9:1", 10.0 + PEER_RETRY_S)
+    assert selector.choose(10.0 + PEER_RETRY_S) == []
+    assert selector.choose(10.0 + 2 * PEER_RETRY_S)
+    selector.note_able("n10:1")
+    selector.note_unable("n9:1", 20.0)
+    assert selector.choose(20.0)
 
 
 @pytest.mark.parametrize(
@@ -78,20 +78,20 @@
     [
         (SubmitOutcome.REFUSED, SubmitOutcome.REFUSED, SubmitOutcome.REFUSED),
         (SubmitOutcome.REFUSED, SubmitOutcome.ACCEPTED, SubmitOutcome.ACCEPTED),
-        # what an earlier try may have stored is never said not to run
+        # a job that an earlier attempt may have stored is never reported as refused
         (SubmitOutcome.UNKNOWN, SubmitOutcome.REFUSED, SubmitOutcome.UNKNOWN),
         (SubmitOutcome.UNKNOWN, SubmitOutcome.ABOVE_CAP, SubmitOutcome.UNKNOWN),
         (SubmitOutcome.UNKNOWN, SubmitOutcome.ACCEPTED, SubmitOutcome.ACCEPTED),
         (SubmitOutcome.REFUSED, SubmitOutcome.UNKNOWN, SubmitOutcome.UNKNOWN),
     ],
 )
-def test_refusal_holds_only_where_nothing_can_be_stored(
+def test_refusal_holds_only_if_no_attempt_can_have_stored_the_job(
     earlier: SubmitOutcome, later: SubmitOutcome, joined: SubmitOutcome
 ) -> None:
     assert join_outcomes(earlier, later) is joined
 
 
-def test_call_and_answer_survive_their_encoding() -> None:
+def test_encoded_call_and_answer_decode_to_the_same_objects() -> None:
     frame = decode_frame(encode_call("n0:1", CALL)[LENGTH_BYTES:])
     assert decode_call(frame) == CALL
     answer = PassedAnswer("accepted", "known", 3)
@@ -99,7 +99,7 @@
     assert decode_answer(frame) == answer
 
 
-def test_frames_of_another_kind_are_refused() -> None:
+def test_frames_of_another_kind_are_rejected() -> None:
     with pytest.raises(FrameError):
         decode_call(ttypes.Frame(sender="n0:1"))
     with pytest.raises(FrameError):
@@ -123,8 +123,8 @@
 
 
 @attrs.define
-class Answering:
-    """Answers as told, and notes what it was asked."""
+class FakeAnswerer:
+    """Returns a fixed answer, none within 2 s if it is ``None``, and records calls."""
 
     answer: PassedAnswer | None
     asked: list[PassedCall] = attrs.field(factory=list)
@@ -136,19 +136,19 @@
         return self.answer or PassedAnswer(UNABLE)
 
 
-def test_call_goes_over_a_connection() -> None:
-    answering = Answering(PassedAnswer("accepted"))
-    found = anyio.run(ask_over_loopback, find_port(), answering)
+def test_call_is_answered_over_a_connection() -> None:
+    answerer = FakeAnswerer(PassedAnswer("accepted"))
+    found = anyio.run(ask_over_loopback, find_port(), answerer)
     assert found == PassedAnswer("accepted")
-    assert answering.asked == [CALL]
+    assert answerer.asked == [CALL]
 
 
-def test_answer_that_does_not_come_leaves_the_call_uncertain() -> None:
-    found = anyio.run(ask_over_loopback, find_port(), Answering(None))
+def test_missing_answer_leaves_the_outcome_unknown() -> None:
+    found = anyio.run(ask_over_loopback, find_port(), FakeAnswerer(None))
     assert found is PassFailure.NO_ANSWER
 
 
-def test_node_that_does_not_listen_was_sent_nothing() -> None:
+def test_call_to_a_node_that_does_not_listen_is_not_sent() -> None:
     async def ask() -> PassedAnswer | PassFailure:
         link = StreamCallLink(Address("127.0.0.1", 0))
         return await link.ask(f"127.0.0.1:{find_port()}", CALL, 1.0)
@@ -171,20 +171,22 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_rules_hold_where_calls_are_passed_on(name: str) -> None:
+def test_invariants_hold_while_calls_are_forwarded(name: str) -> None:
     for seed in (1, 2):
         day = extend_day("tenants", "contended", DAYS[name])
         assert play(day, seed).breaches == []
 
 
-def measure_failed_tries(*statements: str) -> float:
-    """Measure the share of tries to hand a job in that fail, over three seeds."""
+def measure_failed_attempts(*statements: str) -> float:
+    """Return the share of failed attempts to submit a job over three seeds."""
     days = [play(extend_day("short", *statements), seed) for seed in (1, 2, 3)]
     failed = sum(day.account.failed_tries for day in days)
     return failed / sum(day.account.tries for day in days)
 
 
-def test_few_calls_are_refused_where_a_third_of_the_nodes_is_turned_away() -> None:
+def test_forwarding_keeps_refusals_low_while_the_store_rejects_a_third_of_nodes() -> (
+    None
+):
     fault = "at 4 refuse node for 9 by 0.34"
-    assert measure_failed_tries(fault) > 0.02
-    assert measure_failed_tries("contended", fault) <= 0.02
+    assert measure_failed_attempts(fault) > 0.02
+    assert measure_failed_attempts("contended", fault) <= 0.02
