--- a/src/onyxgap/jobs/notices.py
+++ b/src/onyxgap/jobs/notices.py
@@ -43,7 +43,7 @@
     """Asks for the newest configuration; sent by a node that cannot reach the store.
 
     :param sender: address of the requesting node.
-    :param asked: request number, unique within the requesting node.
+    :param asked: number of the query, unique within the requesting node.
     :param version: version in force on the requesting node.
     """
 
@@ -56,7 +56,7 @@
 class ConfigurationPart:
     """Part of the answer to a :class:`ConfigurationQuestion`.
 
-    :param asked: request number of the question.
+    :param asked: number of the query.
     :param version: version in force on the answering node.
     :param age_ms: milliseconds since it was last known to be the newest version.
     :param part: index of the part, from 0.
--- a/tests/test_owner_capacity.py
+++ b/tests/test_owner_capacity.py
@@ -14,7 +14,7 @@
 @pytest.mark.parametrize(
     ("cost_s", "least", "most"), [(GENERAL_CLIENT_S, 0, 129), (CONNECTIONS_S, 250, 258)]
 )
-def test_only_an_owner_with_cheap_calls_serves_a_load_peak_in_time(
+def test_only_an_owner_with_cheap_calls_serves_a_burst_in_time(
     cost_s: float, least: int, most: int
 ) -> None:
     """Guards against costly calls to workers, which make an owner miss deadlines.
