--- a/src/onyxgap/jobs/shard_workers.py
+++ b/src/onyxgap/jobs/shard_workers.py
@@ -1,4 +1,4 @@
-"""The workers of a shard: registered, cordoned, silent, dead, and their load."""
+"""Tracks the workers of a shard: registrations, cordons, leases, crashes and load."""
 
 import math
 import typing as t
@@ -31,25 +31,28 @@
 from .workers import WorkerClock
 
 ORPHAN_WAIT_S = 13.0
-"""An earlier owner without the store stops extending leases after 8 s, and the
-last lease that it gave lasts 5 s."""
+"""Time after a claim for which leases of the previous owner may still be valid: an
+owner that cannot reach the store stops extending leases after 8 s, and the last lease
+that it granted lasts 5 s."""
 
 
 _LOG = structlog.get_logger()
 
 
-def _was_sent(task: Task) -> bool:
-    """Tell whether a run may have reached its worker.
+def _may_have_been_sent(task: Task) -> bool:
+    """Return whether the start order of a run may have reached its worker.
 
-    What an earlier owner intended may have been sent; see :class:`Task`.
+    A run without a start time was ordered by a previous owner, or from a previous
+    incarnation of the worker; its order may have been sent. See :class:`Task`.
     """
     return task.sent or task.started_at == 0.0
 
 
 def _describe_run(task: Task) -> tuple[str, int, bool, float]:
-    """Give task, run, whether its start was confirmed, and for how long it was listed.
+    """Return a run's task, number, whether its start was confirmed, and listed time.
 
-    What crashes its worker at its start is never listed for long.
+    The listed time is in ms. A task that crashes its worker at its start is never
+    listed for long.
     """
     confirmed = task.confirmed_at is not None
     return str(task.task_id), task.run, confirmed, round(task.listed_ms)
@@ -57,22 +60,23 @@
 
 @attrs.define
 class ShardWorkers(ShardJobs):
-    """Workers of one shard."""
+    """The workers of one shard."""
 
     def observe_worker(self, entry: WorkerEntry, now: float) -> WorkerRecord:
-        """Take in a registration.
+        """Record a registration.
 
         :param entry: the registration.
         :param now: monotonic seconds.
+        :returns: the worker's record.
         """
         record = self.workers.get(entry.worker_id)
         if record is None:
             record = WorkerRecord(entry, born=entry.born)
             self.workers[entry.worker_id] = record
-        sign = self._take_life(record, entry.born, now)
-        if sign is LifeSign.FORMER:
+        match = self._take_life(record, entry.born, now)
+        if match is LifeSign.FORMER:
             return record
-        if sign is LifeSign.LATER:
+        if match is LifeSign.LATER:
             record = self.workers[entry.worker_id]
             record.clock = WorkerClock(entry.clock_ms, now)
         record.entry = entry
@@ -85,39 +89,48 @@
         return record
 
     def _take_life(self, record: WorkerRecord, born: int, now: float) -> LifeSign:
-        """Take in the start that a worker tells; ends its earlier life if it is later.
+        """Compare a message's start time with the worker's known incarnation.
 
-        :param record: what is known of the worker.
-        :param born: Unix milliseconds of its start, 0 where it does not tell.
+        If the message is from a newer incarnation, that replaces the known one.
+
+        :param record: the worker's record.
+        :param born: start time in the message, Unix milliseconds, 0 if it has none.
         :param now: monotonic seconds.
+        :returns: which incarnation the message is from.
         """
-        sign = compare_life(record.born, born)
-        if sign is LifeSign.LATER:
-            self._begin_life(record, born, now)
-        elif sign is LifeSign.SAME:
+        match = compare_life(record.born, born)
+        if match is LifeSign.LATER:
+            self._replace_incarnation(record, born, now)
+        elif match is LifeSign.SAME:
             record.born = record.born or born
-        return sign
+        return match
+
+    def _replace_incarnation(
+        self, previous: WorkerRecord, born: int, now: float
+    ) -> None:
+        """Replace a worker's record by that of a new incarnation.
 
-    def _begin_life(self, former: WorkerRecord, born: int, now: float) -> None:
-        """Begin with nothing known of a worker but its id and its start.
+        No capacity, clock or report of the new incarnation is known yet.
 
-        An order for the former life may have reached the new one before anybody knew
-        of it: that knows neither the fence nor, on its new clock, the deadline. So what
-        was ordered stays placed until the new life has been told to stop it, and a
-        report asked for after that does not list it.
+        A start order for the previous incarnation may have reached the new one before
+        the owner learned of the restart. The new incarnation does not know the owner's
+        fencing token, and the order's deadline means nothing on its new clock. So a run
+        whose order may have been sent stays placed until the new incarnation has
+        confirmed a stop order for it, and a report requested after that does not list
+        the run.
         """
-        worker_id = former.entry.worker_id
+        worker_id = previous.entry.worker_id
         ordered = [
             (job, task, task.run, task.start_deadline_ms)
             for job in self.jobs.values()
             for task in job.list_placed()
-            if task.worker_id == worker_id and _was_sent(task)
+            if task.worker_id == worker_id and _may_have_been_sent(task)
         ]
-        self.end_worker(worker_id, "started again under its id", now)
+        self.end_worker(worker_id, "worker restarted under the same id", now)
         entry = attrs.evolve(
-            former.entry, cpu=0, memory_mb=0, accelerators=0, clock_ms=0.0, born=born
+            previous.entry, cpu=0, memory_mb=0, accelerators=0, clock_ms=0.0, born=born
         )
-        record = WorkerRecord(entry, former.registered, WorkerClock(0.0, now))
+        record = WorkerRecord(entry, previous.registered, WorkerClock(0.0, now))
         record.born = born
         self.workers[worker_id] = record
         for job, task, run, deadline_ms in ordered:
@@ -135,9 +148,12 @@
         self.dirty.add(job.submission.job_id)
 
     def apply_stop_reply(self, order: StopOrder, reply: Reply, now: float) -> None:
-        """Take in that a worker will not start a run that a former life was ordered to.
+        """Record that a worker will not start a run of a previous incarnation.
 
-        :param order: the order to stop it.
+        Replies to other stop orders are ignored; the worker reports the ends of the
+        runs.
+
+        :param order: the stop order.
         :param reply: the worker's reply.
         :param now: monotonic seconds.
         """
@@ -151,10 +167,11 @@
     def set_cordons(
         self, cordons: t.Mapping[str, str], due: frozenset[str] = frozenset()
     ) -> None:
-        """Take in which workers are to be emptied.
+        """Set which workers are cordoned, and which are due for maintenance.
 
-        :param cordons: workers to be emptied now, with the reason.
-        :param due: workers whose VMs are due for maintenance.
+        :param cordons: cordon IDs by worker id. A cordoned worker is drained: it gets
+            no new tasks, and its serving tasks are moved.
+        :param due: ids of workers whose VMs are due for maintenance.
         """
         self.cordons, self.due = cordons, due
         for worker_id, record in self.workers.items():
@@ -162,14 +179,17 @@
             record.due = worker_id in due
 
     def get_capacity(self) -> tuple[int, int]:
-        """Give cores in thousandths and MB of the largest worker seen."""
+        """Return the CPU (thousandths of a core) and memory (MB) of the largest worker.
+
+        Workers are compared by CPU, then by memory; ``(0, 0)`` if there are none.
+        """
         return max(
             ((item.entry.cpu, item.entry.memory_mb) for item in self.workers.values()),
             default=(0, 0),
         )
 
     def build_report(self, now: float) -> PoolReport:
-        """Report the load for the holder of the fleet duty.
+        """Build the load report for the fleet controller.
 
         :param now: monotonic seconds.
         """
@@ -185,11 +205,13 @@
             for occurrence, number in job.list_ready():
                 step = job.submission.steps[number]
                 share = measure_share(step, capacity)
-                waits = "queued" if self._is_pressed(job, number, now) else ""
+                waiting_kind = (
+                    "queued" if self._justifies_more_vms(job, number, now) else ""
+                )
                 for task in occurrence.steps[number]:
                     if step.long_running and task.placed:
                         serving[task.worker_id] = serving.get(task.worker_id, 0) + 1
-                    kind = get_demand(step, task, waits)
+                    kind = get_demand(step, task, waiting_kind)
                     if kind:
                         sums[kind] += share
         workers = {
@@ -210,20 +232,23 @@
         )
 
     def list_emptied(self) -> dict[str, str]:
-        """List cordoned workers on which nothing runs any more, with the cordon."""
+        """Return the cordon IDs of drained workers, by worker id.
+
+        A drained worker is cordoned and has no runs left.
+        """
         return {
             worker_id: self.cordons[worker_id]
             for worker_id, record in self.workers.items()
             if record.cordoned and record.held and not record.present
         }
 
-    def _is_pressed(self, job: Job, step: int, now: float) -> bool:
-        """Tell whether a waiting step should have VMs that are not there yet."""
+    def _justifies_more_vms(self, job: Job, step: int, now: float) -> bool:
+        """Return whether a waiting step justifies more VMs for the pool."""
         urgency = rate_urgency(job, step, now, self.forecast)
         return self.forecast.is_worth_vms(urgency, now)
 
     def miss_worker(self, worker_id: str) -> None:
-        """Take in that a registration is gone; the worker may still run on."""
+        """Mark a worker as unregistered; it may still be running."""
         record = self.workers.get(worker_id)
         if record is not None:
             record.registered = False
@@ -231,20 +256,21 @@
     def end_worker(
         self, worker_id: str, reason: str, now: float, crashed: bool = True
     ) -> None:
-        """Take in that a life of a worker is over and nothing runs there.
+        """Remove a worker whose incarnation is over, and release the runs on it.
 
         :param worker_id: the worker.
-        :param reason: what shows it, for the log.
+        :param reason: how that is known, for the log.
         :param now: monotonic seconds.
-        :param crashed: whether its VM is known to be gone, not only unheard.
+        :param crashed: whether the worker is known to be gone, and not only out of
+            reach.
         """
         record = self.workers.get(worker_id)
         if record is None or record.gone:
             return
         record.gone = True
-        freed = self._free_worker(record, crashed, now)
+        freed = self._release_runs(record, crashed, now)
         _LOG.info(
-            "worker ended",
+            "worker removed",
             worker=worker_id,
             service=self.service,
             reason=reason,
@@ -253,28 +279,31 @@
         del self.workers[worker_id]
 
     def is_isolated(self, order: StartOrder) -> bool:
-        """Tell whether nothing else is started beside a run until it proves itself."""
+        """Return whether a run still keeps runs of other jobs off its worker.
+
+        That lasts until the run is known not to crash the worker.
+        """
         record = self.workers.get(order.worker_id)
         return record is not None and order.task in record.isolated
 
     def set_room_validity(self, valid_s: float) -> None:
-        """Set how long what workers say of their capacity may be relied on.
+        """Set how long the capacity in a registration may be relied on.
 
-        :param valid_s: seconds since a registration was read.
+        :param valid_s: seconds since the registration was read, or infinity.
         """
         if valid_s == self.room_valid_s:
             return
         self.room_valid_s = valid_s
         for record in self.workers.values():
-            # when they told their capacity is not known: they must tell it again
+            # The time of the last registration is not kept, so wait for the next one.
             record.room_until = math.inf if math.isinf(valid_s) else 0.0
 
     def list_registered(self) -> list[WorkerRecord]:
-        """List workers whose registration stands."""
+        """List the workers that are registered."""
         return [record for record in self.workers.values() if record.registered]
 
     def list_silent(self) -> list[WorkerRecord]:
-        """List workers that give no answer, or whose registration is gone."""
+        """List the workers that do not answer, or are no longer registered."""
         return [
             record
             for record in self.workers.values()
@@ -282,47 +311,47 @@
         ]
 
     def apply_live_workers(self, live: t.Collection[str], sent_at: float) -> None:
-        """Take in which workers are alive by the platform's list of VMs.
+        """Remove silent workers that the platform's list of VMs does not show as up.
 
-        :param live: workers of VMs that are up.
-        :param sent_at: monotonic seconds when the list was asked for.
+        :param live: ids of the workers of VMs that are up.
+        :param sent_at: monotonic seconds when the list was requested.
         """
         for record in self.list_silent():
             silent_since = record.failing_since or self.claimed_at
             if record.entry.worker_id not in live and sent_at > silent_since:
                 self.end_worker(
-                    record.entry.worker_id, "its VM is down or reborn", sent_at
+                    record.entry.worker_id, "VM is down or runs another worker", sent_at
                 )
 
     def expire_workers(self, now: float) -> None:
-        """Release the runs of silent workers whose lease is certainly over."""
+        """Release the runs of silent workers whose lease has certainly expired."""
         for record in list(self.workers.values()):
             if record.failing_since is None and record.registered:
                 continue
-            if not self._is_lease_over(record, now):
+            if not self._has_lease_expired(record, now):
                 continue
             if not record.registered:
                 self.end_worker(
-                    record.entry.worker_id, "silent, lease over", now, False
+                    record.entry.worker_id, "unregistered, lease expired", now, False
                 )
             elif record.present:
-                freed = self._free_worker(record, False, now)
+                freed = self._release_runs(record, False, now)
                 _LOG.info(
-                    "lease over",
+                    "lease expired",
                     worker=record.entry.worker_id,
                     service=self.service,
                     freed=freed,
                     silent_s=now - (record.failing_since or now),
                 )
 
-    def _is_lease_over(self, record: WorkerRecord, now: float) -> bool:
+    def _has_lease_expired(self, record: WorkerRecord, now: float) -> bool:
         if not record.held and now < self.claimed_at + ORPHAN_WAIT_S:
             return False
         if record.clock is None:
             return True
         return record.clock.bound_low(now) > record.lease_ms
 
-    def _free_worker(self, record: WorkerRecord, crashed: bool, now: float) -> int:
+    def _release_runs(self, record: WorkerRecord, crashed: bool, now: float) -> int:
         lost = [
             (job, task)
             for job in self.jobs.values()
@@ -331,12 +360,12 @@
         ]
         tasks = [task for _, task in lost]
         if tasks:
-            self._log_lost(record, tasks)
+            self._log_lost_runs(record, tasks)
         if record.entry.state is not WorkerState.DRAINING:
-            sent = [task for task in tasks if _was_sent(task)]
-            self._suspect(sent, crashed, record.heard_ms)
+            sent = [task for task in tasks if _may_have_been_sent(task)]
+            self._record_losses(sent, crashed, record.heard_ms)
         if crashed and tasks:
-            # one that was emptied has moved or is in maintenance
+            # A worker without runs was drained, and is being moved or maintained.
             self.crashes.note([task.task_id.job_id for task in tasks], now)
         for job, task in lost:
             self._release(job, task)
@@ -344,10 +373,10 @@
             if job.state.final:
                 continue
             if task.suspicion.is_proved(self.crashes.get_doubt(job.submission.job_id)):
-                self._give_up(job, task)
+                self._fail_crashing_job(job, task)
         return len(lost)
 
-    def _log_lost(self, record: WorkerRecord, tasks: t.Sequence[Task]) -> None:
+    def _log_lost_runs(self, record: WorkerRecord, tasks: t.Sequence[Task]) -> None:
         _LOG.info(
             "runs lost",
             worker=record.entry.worker_id,
@@ -357,16 +386,16 @@
         )
 
     @staticmethod
-    def _suspect(tasks: t.Sequence[Task], crashed: bool, heard_ms: float) -> None:
-        """Count the runs that were lost with a worker as tried.
+    def _record_losses(tasks: t.Sequence[Task], crashed: bool, heard_ms: float) -> None:
+        """Record the runs lost with a worker in the loss histories of their tasks.
 
-        Released as if they had never been started, they would be started without end.
+        Otherwise a task that crashes its workers would be started again without end.
 
         :param tasks: the tasks.
-        :param crashed: whether the worker crashed; one that is only cut off ends its
-            runs, too, but none of them is to blame.
-        :param heard_ms: latest reading of the worker's clock: what it had started
-            before had not crashed it by then, listed or not.
+        :param crashed: whether the worker crashed. A worker that is only out of reach
+            ends its runs, too, but none of them is to blame.
+        :param heard_ms: latest reading of the worker's clock. A run that was started
+            before had not crashed the worker by then, even if no report listed it.
         """
         runs = [
             LostRun(
@@ -380,7 +409,7 @@
         for task, run, blame in zip(tasks, runs, blames, strict=True):
             task.suspicion = task.suspicion.add_loss(run.young, blame)
 
-    def _give_up(self, job: Job, task: Task) -> None:
+    def _fail_crashing_job(self, job: Job, task: Task) -> None:
         _LOG.info(
             "job failed",
             job=job.submission.job_id,
