--- a/src/onyxgap/jobs/__init__.py
+++ b/src/onyxgap/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of callers: what they ask for, where they run, and how they end."""
+"""Jobs: admission, scheduling, shard ownership, workers and stored state."""
--- a/src/onyxgap/jobs/messages.py
+++ b/src/onyxgap/jobs/messages.py
@@ -1,4 +1,7 @@
-"""What callers submit and what workers report, in the product's own types."""
+"""Data types for submitted jobs, worker registrations and worker reports.
+
+They are independent of the platform's message formats.
+"""
 
 import enum
 import typing as t
@@ -7,7 +10,7 @@
 
 
 class JobState(enum.Enum):
-    """State of a job as its caller is told."""
+    """State of a job as reported to its caller."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -17,32 +20,32 @@
 
     @property
     def final(self) -> bool:
-        """Whether the state never changes again."""
+        """Whether the state is terminal."""
         return self in (JobState.SUCCEEDED, JobState.FAILED, JobState.CANCELLED)
 
 
 @attrs.frozen(slots=True)
 class Step:
-    """A step of a job: tasks of one kind.
+    """A step of a job: a number of identical tasks.
 
     :param count: number of tasks.
-    :param cpu: thousandths of a core that each task asks for.
-    :param memory_mb: memory that each task asks for, in MB.
-    :param accelerators: accelerators that each task asks for.
-    :param estimate_ms: rough run time of a task, in milliseconds.
-    :param after: indexes of earlier steps that must be done first.
+    :param cpu: CPU that each task requests, in thousandths of a core.
+    :param memory_mb: memory that each task requests, in MB.
+    :param accelerators: accelerators that each task requests.
+    :param estimate_ms: estimated run time of a task, in milliseconds.
+    :param after: indexes of the earlier steps that must be done first.
     :param checkpointing: whether tasks can resume from a checkpoint.
-    :param gang: whether the tasks only work together.
-    :param same_rack: whether the tasks slow down on more than one rack.
-    :param requires: label that a worker must carry, or empty.
-    :param affinity: rack that holds the data, or empty.
-    :param anti_affinity: most tasks of an occurrence on one worker, 0 for any.
-    :param speculative: whether copies of a task may run in parallel.
+    :param gang: whether the tasks must run at the same time (gang scheduling).
+    :param same_rack: whether the tasks run slower when spread over several racks.
+    :param requires: label that a worker must have, or empty.
+    :param affinity: rack that holds the tasks' data, or empty.
+    :param anti_affinity: maximum tasks per occurrence and worker, 0 for no limit.
+    :param speculative: whether copies of a task may run at the same time.
     :param long_running: whether tasks run until the job is cancelled.
-    :param image: name of what the tasks run, or empty.
-    :param target_ms: tail of response times that a serving task must keep, 0 if none.
-    :param fills: whether the tasks only use capacity that others leave.
-    :param may_miss: tasks that may be away at once by the system's own actions.
+    :param image: name of the image that the tasks run, or empty.
+    :param target_ms: tail latency that a serving task must keep, in ms, 0 for none.
+    :param fills: whether the tasks use only CPU that other tasks leave unused.
+    :param may_miss: number of tasks that the system itself may have down at once.
     """
 
     count: int
@@ -67,15 +70,15 @@
 
 @attrs.frozen(slots=True)
 class QueuePolicy:
-    """How a queue's jobs are run; copied into each job when it is accepted.
+    """How the jobs of a queue are run; copied into each job on acceptance.
 
     :param queue: name of the queue.
     :param service: pool whose workers run the tasks.
-    :param priority: 0 comes first.
-    :param max_attempts: failed runs of a task after which the job has failed.
-    :param stretch: objective as a multiple of the longest chain of work.
-    :param slo_ms: objective in milliseconds on top of that.
-    :param advised: whether a policy service names the workers for each step.
+    :param priority: priority of its jobs; 0 is the highest.
+    :param max_attempts: number of failed runs of a task that fails the job.
+    :param stretch: factor of the critical path in the completion time objective.
+    :param slo_ms: constant part of the objective, in milliseconds.
+    :param advised: whether a policy service chooses the workers for each step.
     """
 
     queue: str
@@ -89,9 +92,9 @@
 
 @attrs.frozen(slots=True)
 class JobStatus:
-    """What is shown of a job, and to whom.
+    """State of a job, and the tenant that may read it.
 
-    :param state: its state.
+    :param state: state of the job.
     :param tenant: its tenant, or empty.
     """
 
@@ -101,17 +104,17 @@
 
 @attrs.frozen(slots=True)
 class Submission:
-    """An accepted job; never changes.
+    """An accepted job as it was submitted; immutable.
 
     :param job_id: id chosen by the caller.
-    :param policy: policy of its queue when it was accepted.
-    :param spec: opaque text that is handed to the workers.
+    :param policy: policy of its queue at the time of acceptance.
+    :param spec: opaque text that is passed to the workers.
     :param steps: its steps in order.
-    :param times: occurrences, 0 for a job that runs once at once.
+    :param times: number of occurrences, 0 for a job that runs once, immediately.
     :param start_at_ms: due time of the first occurrence, in ms since 1970.
     :param interval_ms: time between two occurrences, in milliseconds.
-    :param accepted_ms: wall-clock time of the acceptance, in ms since 1970.
-    :param tenant: tenant that it belongs to; empty where its queue is open to anyone.
+    :param accepted_ms: wall-clock time of acceptance, in ms since 1970.
+    :param tenant: tenant that it belongs to; empty if its queue is open to anyone.
     """
 
     job_id: str
@@ -138,10 +141,10 @@
 
 
 def parse_task_id(text: str) -> TaskId:
-    """Read a task id.
+    """Parse a task id.
 
-    :param text: its printed form.
-    :raises ValueError: when it has another form.
+    :param text: the id as :class:`TaskId` formats it.
+    :raises ValueError: if the text is malformed.
     """
     job_id, occurrence, step, position = text.split(".")
     return TaskId(job_id, int(occurrence), int(step), int(position))
@@ -164,9 +167,9 @@
 
     :param task: the task.
     :param run: number of the run.
-    :param checkpoint: newest checkpoint, or empty.
-    :param percent: share of the work that is done; 100 for a serving task at work.
-    :param figure: tail in ms of a serving task, processor in use of any other.
+    :param checkpoint: latest checkpoint, or empty.
+    :param percent: work done, in percent; 100 for a serving task that is serving.
+    :param figure: tail latency in ms of a serving task, CPU use of any other.
     """
 
     task: TaskId
@@ -180,11 +183,11 @@
 class EndedTask:
     """A run that a worker reports as ended.
 
-    :param sequence: number of the end within the worker's life.
+    :param sequence: sequence number of the end, per incarnation of the worker.
     :param task: the task.
     :param run: number of the run.
     :param kind: how it ended.
-    :param checkpoint: newest checkpoint, or empty.
+    :param checkpoint: latest checkpoint, or empty.
     """
 
     sequence: int
@@ -195,7 +198,7 @@
 
 
 class WorkerState(enum.Enum):
-    """Whether a worker takes new tasks."""
+    """Whether a worker accepts new tasks."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -203,19 +206,19 @@
 
 @attrs.frozen(slots=True)
 class WorkerEntry:
-    """A worker as it is registered.
+    """Registration of a worker.
 
-    :param worker_id: id of the worker; with :attr:`born` that of one life.
-    :param service: pool that it belongs to.
+    :param worker_id: id of the worker; with :attr:`born`, id of one incarnation.
+    :param service: pool that the worker belongs to.
     :param address: ``host:port`` of its interface.
     :param zone: availability zone.
-    :param state: whether it takes new tasks.
-    :param cpu: thousandths of a core.
+    :param state: whether it accepts new tasks.
+    :param cpu: CPU in thousandths of a core.
     :param memory_mb: memory in MB.
     :param accelerators: number of accelerators.
-    :param labels: kind and rack.
-    :param clock_ms: its clock when it wrote the entry.
-    :param born: Unix milliseconds of its start, 0 where it does not tell.
+    :param labels: machine kind and rack.
+    :param clock_ms: its clock in ms when it wrote the registration.
+    :param born: its start time in Unix milliseconds, 0 if not given.
     """
 
     worker_id: str
--- a/src/onyxgap/jobs/settings.py
+++ b/src/onyxgap/jobs/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node."""
+"""Settings of a node, and the time limits of its deployment."""
 
 import attrs
 
@@ -11,15 +11,15 @@
 
     :param max_lease_s: longest lease that a worker grants.
     :param stop_s: longest time that a run takes to stop.
-    :param status_s: how long the state of an ended job must stay readable.
-    :param grace_s: time between the request to stop a process and its end.
-    :param early_s: how much too early a scheduled occurrence may start.
-    :param holder_pause_s: pause between two holders of the fleet duty.
+    :param status_s: time for which the state of an ended job must stay readable.
+    :param grace_s: time between the request to stop a process and its forced end.
+    :param early_s: how early a scheduled occurrence may start.
+    :param holder_pause_s: minimum time between two fleet controllers.
     :param move_s: time that a VM needs to join another pool.
-    :param upkeep_s: time that a VM needs for its maintenance.
-    :param notice_s: time after which an absent serving task counts as away.
-    :param far_factor: slowdown of a task away from its data.
-    :param beat_s: time between two writes of a worker's registration.
+    :param upkeep_s: time that the maintenance of a VM takes.
+    :param notice_s: time after which a missing serving task counts as down.
+    :param far_factor: slowdown of a task that runs far from its data (a factor).
+    :param beat_s: interval at which a worker renews its registration.
     :param configuration_s: time within which a new configuration must be in force.
     """
 
@@ -41,17 +41,17 @@
 class NodeSettings:
     """Settings of a node.
 
-    :param node: unique name.
+    :param node: unique name of the node.
     :param zone: availability zone.
-    :param front: address for callers.
-    :param ready: address for readiness probes and metrics.
+    :param front: address on which callers' requests are served.
+    :param ready: address on which readiness probes and metrics are served.
     :param store: ``host:port`` of the store.
-    :param cloud: ``host:port`` of the interface to VMs, ``-`` where there is none.
-    :param advice: ``host:port`` of the policy service, ``-`` where there is none.
-    :param peer_ports: first and last port for other nodes.
-    :param keyed: whether calls need a tenant's key, but on open queues.
-    :param contended: whether callers may ask for more than there is room for, and the
-        node is to weigh them against each other.
+    :param cloud: ``host:port`` of the VM API, ``-`` if there is none.
+    :param advice: ``host:port`` of the policy service, ``-`` if there is none.
+    :param peer_ports: first and last port for traffic between nodes.
+    :param keyed: whether requests need a tenant's key, except on public queues.
+    :param contended: whether callers may request more than the capacity; the node then
+        applies fair sharing and admission control.
     :param limits: time limits of the deployment.
     """
 
--- a/src/onyxgap/jobs/submissions.py
+++ b/src/onyxgap/jobs/submissions.py
@@ -1,4 +1,4 @@
-"""Checks and the stored form of what callers submit."""
+"""Validates submissions, and encodes them for the store."""
 
 import typing as t
 
@@ -13,13 +13,13 @@
 from .messages import Submission
 
 MAX_SPEC_BYTES = 4_000
-"""Longest text for the workers; the platform's published bound."""
+"""Maximum length of a spec; the limit that the platform publishes."""
 MAX_TASKS = 1_500
-"""Tasks of all steps; their progress then fits a row of 64 KB."""
+"""Maximum tasks of all steps; the progress of a job then fits into a row of 64 KB."""
 MAX_STEPS = 100
-"""Far beyond the five steps seen; bounds the work of checking a body."""
-MAX_TIMES = 10_000
-"""An occurrence a minute for a week."""
+"""Limits the cost of validating a body; jobs in practice have up to five steps."""
+MAX_OCCURRENCES = 10_000
+"""Enough for one occurrence per minute for about a week."""
 
 
 def _check_step(number: int, step: Step, count: int) -> t.Iterator[Fault]:
@@ -31,35 +31,43 @@
             yield Fault(f"{path}.{name}", "must not be negative")
     for earlier in step.after:
         if not 0 <= earlier < number:
-            yield Fault(f"{path}.after", f"{earlier} is no earlier step of {count}")
+            yield Fault(
+                f"{path}.after",
+                f"{earlier} is not the index of an earlier step of {count}",
+            )
 
 
 def check_submission(submission: Submission) -> Submission:
-    """Check the parts of a submission against each other.
+    """Validate a submission.
 
-    :param submission: what the caller sent.
-    :raises DocumentError: with every fault.
+    :param submission: the submission.
+    :returns: the submission.
+    :raises DocumentError: with all faults found.
     """
     faults = []
     if len(submission.spec.encode()) > MAX_SPEC_BYTES:
-        faults.append(Fault("$.spec", f"longer than {MAX_SPEC_BYTES} bytes"))
+        faults.append(
+            Fault("$.spec", f"must not be longer than {MAX_SPEC_BYTES} bytes")
+        )
     if not 1 <= len(submission.steps) <= MAX_STEPS:
-        faults.append(Fault("$.steps", f"must be 1 to {MAX_STEPS} steps"))
-    if not 0 <= submission.times <= MAX_TIMES:
-        faults.append(Fault("$.times", f"must be 0 to {MAX_TIMES}"))
+        faults.append(Fault("$.steps", f"must contain 1 to {MAX_STEPS} steps"))
+    if not 0 <= submission.times <= MAX_OCCURRENCES:
+        faults.append(Fault("$.times", f"must be between 0 and {MAX_OCCURRENCES}"))
     for number, step in enumerate(submission.steps):
         faults += _check_step(number, step, len(submission.steps))
     if sum(step.count for step in submission.steps) > MAX_TASKS:
-        faults.append(Fault("$.steps", f"more than {MAX_TASKS} tasks"))
+        faults.append(
+            Fault("$.steps", f"must not have more than {MAX_TASKS} tasks in all")
+        )
     if faults:
         raise DocumentError(faults)
     return submission
 
 
 def encode_submission(submission: Submission) -> bytes:
-    """Encode a submission for its row.
+    """Encode a submission for its row in the store.
 
-    :param submission: the job.
+    :param submission: the submission.
     """
     value = attrs.asdict(
         submission,
@@ -73,10 +81,10 @@
 
 
 def decode_submission(value: bytes) -> Submission:
-    """Read a submission from its row.
+    """Decode a submission from its row in the store.
 
-    :param value: what :func:`encode_submission` gave.
-    :raises DocumentError: when the row is foreign or damaged.
+    :param value: output of :func:`encode_submission`.
+    :raises DocumentError: if the row is not a valid submission.
     """
     try:
         raw = orjson.loads(value)
@@ -84,14 +92,18 @@
         raw["steps"] = tuple(map(_build_step, raw["steps"]))
         return Submission(**raw)
     except MALFORMED_ERRORS as error:
-        raise DocumentError([Fault("$", f"no stored job: {error!r}")]) from None
+        raise DocumentError(
+            [Fault("$", f"not a stored submission: {error!r}")]
+        ) from None
 
 
 def is_same_request(first: Submission, second: Submission) -> bool:
-    """Tell whether two submissions under one id ask for the same.
+    """Return whether two submissions with the same id are the same request.
 
-    :param first: the stored one.
-    :param second: the one that arrived.
+    Compares spec, steps, number of occurrences and first due time.
+
+    :param first: the stored submission.
+    :param second: the new submission.
     """
     return (first.spec, first.steps, first.times, first.start_at_ms) == (
         second.spec,
