--- a/src/onyxgap/jobs/configurations.py
+++ b/src/onyxgap/jobs/configurations.py
@@ -1,4 +1,4 @@
-"""The form in which nodes hand a configuration on to each other."""
+"""Encodes configurations for the exchange between nodes, split into datagrams."""
 
 import typing as t
 import zlib
@@ -17,14 +17,14 @@
 from .routing import Service
 from .tenants import Tenant
 
-PART_BYTES = 1_200
-"""Fits a packet, so that one that gets lost takes no other with it."""
+MAX_PART_BYTES = 1_200
+"""A part fits into one packet, so that a lost packet loses no other part."""
 MAX_PARTS = 1_000
-"""Bounds what a foreign datagram can have a node keep."""
+"""Limits the memory that a foreign datagram can make a node use."""
 
 
 def encode_configuration(configuration: Configuration) -> bytes:
-    """Encode a configuration; it holds digests of keys, never keys.
+    """Encode a configuration; it contains digests of keys, never the keys.
 
     :param configuration: the configuration.
     """
@@ -41,10 +41,10 @@
 
 
 def decode_configuration(value: bytes) -> Configuration:
-    """Read what :func:`encode_configuration` gave.
+    """Decode a configuration.
 
-    :param value: the bytes.
-    :raises DocumentError: when they are damaged.
+    :param value: output of :func:`encode_configuration`.
+    :raises DocumentError: if the value is malformed.
     """
     try:
         raw = orjson.loads(zlib.decompress(value))
@@ -57,34 +57,36 @@
             tuple(map(_build_tenant, raw["tenants"])),
         )
     except (zlib.error, *MALFORMED_ERRORS) as error:
-        raise DocumentError([Fault("$", f"no configuration: {error!r}")]) from None
+        raise DocumentError([Fault("$", f"not a configuration: {error!r}")]) from None
 
 
 def split_content(content: bytes) -> list[bytes]:
-    """Split encoded bytes into parts that fit a datagram each."""
+    """Split an encoded configuration into parts that each fit into one datagram."""
     return [
-        content[start : start + PART_BYTES]
-        for start in range(0, len(content), PART_BYTES)
+        content[start : start + MAX_PART_BYTES]
+        for start in range(0, len(content), MAX_PART_BYTES)
     ]
 
 
 @attrs.define
 class Assembly:
-    """Puts the parts of the newest version together that others sent.
+    """Assembles a configuration from parts that other nodes sent.
 
-    Parts of one version may come from several nodes, since all encode it alike.
+    Only parts of the newest version seen are kept. Parts of one version may come from
+    several nodes, since all nodes encode a version identically.
 
-    :param version: the version.
+    :param version: the newest version seen, 0 if none.
     """
 
     version: int = 0
     _parts: dict[int, bytes] = attrs.field(factory=dict)
 
     def add(self, part: ConfigurationPart) -> Configuration | None:
-        """Take in a part; gives the configuration once it is complete.
+        """Add a part.
 
         :param part: the part.
-        :raises DocumentError: when the parts make no configuration.
+        :returns: the configuration if the part completes it, else ``None``.
+        :raises DocumentError: if the complete content is not a configuration.
         """
         if part.version < self.version or not 0 <= part.part < part.parts <= MAX_PARTS:
             return None
--- a/src/onyxgap/jobs/routing.py
+++ b/src/onyxgap/jobs/routing.py
@@ -1,4 +1,4 @@
-"""The configuration in force: queues by host and path, services and tenants."""
+"""The active configuration: routes to queues by host and path, services, tenants."""
 
 import math
 import typing as t
@@ -12,18 +12,18 @@
 from .tenants import index_keys
 
 DEFAULT_BODY_BYTES = 262_144
-"""Until the configuration says otherwise; the platform's usual bound."""
+"""Used unless the configuration sets a limit; the platform's usual limit."""
 
 
 @attrs.frozen(slots=True)
 class Route:
-    """Where callers reach a queue.
+    """Maps a host and a path prefix to a queue.
 
     :param host: value of the ``Host`` header.
-    :param prefix: start of the path.
+    :param prefix: path prefix.
     :param policy: policy of the queue.
-    :param timeout_ms: longest time for one request.
-    :param public: whether it is open to callers without a key.
+    :param timeout_ms: time limit of a request, in milliseconds.
+    :param public: whether the queue is open to callers without a key.
     """
 
     host: str
@@ -37,8 +37,8 @@
 class Service:
     """A pool of VMs.
 
-    :param name: its name.
-    :param guarded: whether its workers refuse what does not fit.
+    :param name: name of the pool.
+    :param guarded: whether its workers reject tasks that do not fit.
     :param spare: whether its VMs are switched off and cost nothing.
     """
 
@@ -51,11 +51,11 @@
 class Configuration:
     """A version of the configuration.
 
-    :param version: rises with each change.
+    :param version: number that increases with each change.
     :param routes: all routes.
     :param services: all services by name.
-    :param max_body_bytes: longest body of a request.
-    :param tenants: all tenants; their order has no meaning.
+    :param max_body_bytes: maximum size of a request body.
+    :param tenants: all tenants, in no particular order.
     """
 
     version: int
@@ -65,21 +65,21 @@
     tenants: tuple[Tenant, ...] = ()
 
     def find_tenant(self, name: str) -> Tenant | None:
-        """Find a tenant by its name."""
+        """Return a tenant by its name, ``None`` if there is no such tenant."""
         for tenant in self.tenants:
             if tenant.name == name:
                 return tenant
         return None
 
     def find_spare(self) -> str:
-        """Give the service whose VMs are off, or an empty string."""
+        """Return the name of the spare service, or an empty string if there is none."""
         for service in self.services.values():
             if service.spare:
                 return service.name
         return ""
 
     def list_shards(self) -> tuple[str, ...]:
-        """List the services that run jobs of any route, in order of name."""
+        """List the services that run jobs, sorted by name; each is one shard."""
         return tuple(sorted({route.policy.service for route in self.routes}))
 
 
@@ -94,22 +94,22 @@
 
 @attrs.define
 class RouteTable:
-    """Finds routes; adopts newer versions only.
+    """Holds the active configuration, and finds routes, caps and weights in it.
 
-    :param configuration: the version in force, ``None`` before the first.
-    :param keyed: whether calls need a tenant's key, but on open queues.
-    :param former: services that a queue had under earlier versions.
-    :param confirmed_at: seconds of the boot clock at which the version in force was
-        known to be the newest.
+    :param configuration: the active version, ``None`` before the first.
+    :param keyed: whether requests need a tenant's key, except on public queues.
+    :param previous_services: services of each queue in previous versions.
+    :param confirmed_at: latest time on the boot clock, in seconds, when the active
+        version was known to be the newest.
     :param keys: names of tenants by digest of key.
-    :param caps: caps of tenants; one that was dropped keeps its last one, since its
-        jobs run on.
-    :param weights: weights of tenants, kept as long.
+    :param caps: caps of tenants. A removed tenant keeps its last cap, since its jobs
+        continue to run.
+    :param weights: weights of tenants; a removed tenant keeps its last weight.
     """
 
     configuration: Configuration | None = None
     keyed: bool = False
-    former: dict[str, set[str]] = attrs.field(factory=dict)
+    previous_services: dict[str, set[str]] = attrs.field(factory=dict)
     confirmed_at: float = -math.inf
     keys: t.Mapping[str, str] = attrs.field(factory=dict)
     caps: dict[str, Amount] = attrs.field(factory=dict)
@@ -117,16 +117,16 @@
     _index: dict[str, list[Route]] = attrs.field(factory=dict)
 
     def adopt(self, configuration: Configuration) -> bool:
-        """Put a version in force.
+        """Make a version the active one if it is newer.
 
         :param configuration: the version.
-        :returns: whether it is newer than the one in force.
+        :returns: whether it is newer than the version that was active.
         """
-        present = self.configuration
-        if present is not None and configuration.version <= present.version:
+        active = self.configuration
+        if active is not None and configuration.version <= active.version:
             return False
-        if present is not None:
-            self._remember(present)
+        if active is not None:
+            self._record_services(active)
         self.configuration = configuration
         self._index = _index_routes(configuration)
         self.keys = index_keys(configuration.tenants)
@@ -136,13 +136,13 @@
         return True
 
     def confirm(self, version: int, at: float) -> None:
-        """Take in that a version was the newest at a moment.
+        """Record that a version was the newest at a point in time.
 
-        It says nothing of another version than the one in force here: one node that
-        is behind must not speak for another.
+        Any other version than the active one is ignored: either this node or the one
+        that confirmed it is behind, and neither may speak for the other.
 
-        :param version: the version, 0 for the one in force.
-        :param at: seconds of the boot clock.
+        :param version: the version, 0 for the active one.
+        :param at: time on the boot clock, in seconds.
         """
         if self.configuration is None:
             return
@@ -150,24 +150,24 @@
             self.confirmed_at = max(self.confirmed_at, at)
 
     def find_cap(self, tenant: str) -> Amount:
-        """Find the most that a tenant may have running."""
+        """Return the cap on what a tenant may have running."""
         return self.caps.get(tenant, UNLIMITED)
 
     def find_weight(self, tenant: str) -> float:
-        """Find a tenant's share of the room when there is none for all."""
+        """Return a tenant's fair-share weight; 1 if the tenant is not known."""
         return self.weights.get(tenant, 1.0)
 
     def needs_key(self, route: Route) -> bool:
-        """Tell whether calls to a queue need a tenant's key."""
+        """Return whether requests to a queue need a tenant's key."""
         return self.keyed and not route.public
 
-    def _remember(self, earlier: Configuration) -> None:
-        for route in earlier.routes:
+    def _record_services(self, previous: Configuration) -> None:
+        for route in previous.routes:
             policy = route.policy
-            self.former.setdefault(policy.queue, set()).add(policy.service)
+            self.previous_services.setdefault(policy.queue, set()).add(policy.service)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Find the route with the longest prefix of a path.
+        """Find the route with the longest prefix that matches a path.
 
         :param host: value of the ``Host`` header.
         :param path: path of the request.
@@ -178,7 +178,7 @@
         return None
 
     def is_guarded(self, service: str) -> bool:
-        """Tell whether the workers of a service refuse what does not fit.
+        """Return whether the workers of a service reject tasks that do not fit.
 
         :param service: name of the service.
         """
@@ -188,5 +188,10 @@
         return found is not None and found.guarded
 
     def list_former(self, policy: QueuePolicy) -> tuple[str, ...]:
-        """List other services that a queue had while this process ran."""
-        return tuple(sorted(self.former.get(policy.queue, set()) - {policy.service}))
+        """List other services that a queue had since this process started.
+
+        :param policy: policy of the queue.
+        """
+        return tuple(
+            sorted(self.previous_services.get(policy.queue, set()) - {policy.service})
+        )
--- a/tests/test_configuration_exchange.py
+++ b/tests/test_configuration_exchange.py
@@ -1,4 +1,9 @@
-"""Nodes that do not hear the store learn the newest configuration from others."""
+"""Tests the exchange of configurations between nodes.
+
+A node that the store does not answer gets the newest configuration from other nodes.
+Guards against nodes that act on an outdated configuration, for example one that still
+has a removed key: an answer must be fresh, requested, complete and of one version.
+"""
 
 import anyio
 import attrs
@@ -9,7 +14,7 @@
 from onyxgap.daemons.configuration_exchange import ConfigurationExchange
 from onyxgap.exceptions import DocumentError
 from onyxgap.jobs.amounts import Amount
-from onyxgap.jobs.configurations import PART_BYTES
+from onyxgap.jobs.configurations import MAX_PART_BYTES
 from onyxgap.jobs.configurations import Assembly
 from onyxgap.jobs.configurations import decode_configuration
 from onyxgap.jobs.configurations import encode_configuration
@@ -44,8 +49,8 @@
 
 
 @attrs.define
-class NotedPeers:
-    """Keeps what was sent."""
+class RecordingPeers:
+    """Peers that record the notices sent to them."""
 
     address: str = "me:1"
     sent: list[tuple[str, Notice]] = attrs.field(factory=list)
@@ -60,18 +65,20 @@
         await anyio.sleep_forever()
 
 
-def build(
+def build_node(
     configuration: Configuration, age_s: float
-) -> tuple[ConfigurationExchange, NotedPeers]:
+) -> tuple[ConfigurationExchange, RecordingPeers]:
     routes = RouteTable(keyed=True)
     routes.adopt(configuration)
-    peers = NotedPeers()
+    peers = RecordingPeers()
     members = {"other": Member("other:1"), "me": Member("me:1"), "old": Member("")}
     exchange = build_exchange(routes, age_s=age_s, peers=peers, members=members)
     return exchange, peers
 
 
-def ask(exchange: ConfigurationExchange, peers: NotedPeers) -> ConfigurationQuestion:
+def ask(
+    exchange: ConfigurationExchange, peers: RecordingPeers
+) -> ConfigurationQuestion:
     exchange._ask()
     address, question = peers.sent.pop()
     assert address == "other:1"
@@ -80,15 +87,15 @@
     return question
 
 
-def test_configuration_survives_its_encoding() -> None:
+def test_configuration_encoding_round_trip() -> None:
     content = encode_configuration(NEWEST)
     assert decode_configuration(content) == NEWEST
     assert len(split_content(content)) > 1
-    assert all(len(part) <= PART_BYTES for part in split_content(content))
+    assert all(len(part) <= MAX_PART_BYTES for part in split_content(content))
 
 
 @pytest.mark.parametrize("value", [b"", b"x", encode_configuration(NEWEST)[:-9]])
-def test_damaged_content_is_refused(value: bytes) -> None:
+def test_damaged_content_is_rejected(value: bytes) -> None:
     with pytest.raises(DocumentError):
         decode_configuration(value)
 
@@ -101,15 +108,15 @@
         ConfigurationPart(7, 40, 30),
     ],
 )
-def test_notices_survive_their_encoding(notice: Notice) -> None:
+def test_notice_encoding_round_trip(notice: Notice) -> None:
     assert decode_notices(encode_notice("1.2.3.4:5", notice)) == [notice]
 
 
-def test_newer_version_comes_from_another_node_in_any_order() -> None:
-    asker, peers = build(OLDER, age_s=5.0)
-    answerer, others = build(NEWEST, age_s=0.4)
+def test_parts_of_a_newer_version_may_arrive_in_any_order() -> None:
+    asker, peers = build_node(OLDER, age_s=5.0)
+    answerer, answerer_peers = build_node(NEWEST, age_s=0.4)
     answerer.answer(ask(asker, peers))
-    parts = [notice for _, notice in others.sent]
+    parts = [notice for _, notice in answerer_peers.sent]
     assert len(parts) > 1
     for part in [*parts[1:], parts[0]]:
         assert isinstance(part, ConfigurationPart)
@@ -120,52 +127,52 @@
 
 
 def test_same_version_is_confirmed_without_its_content() -> None:
-    asker, peers = build(NEWEST, age_s=5.0)
-    answerer, others = build(NEWEST, age_s=0.4)
+    asker, peers = build_node(NEWEST, age_s=5.0)
+    answerer, answerer_peers = build_node(NEWEST, age_s=0.4)
     answerer.answer(ask(asker, peers))
-    ((_, part),) = others.sent
+    ((_, part),) = answerer_peers.sent
     assert isinstance(part, ConfigurationPart)
     assert part.parts == 0
     asker.take(part)
     assert asker.get_age() == pytest.approx(0.4)
 
 
-def test_answer_counts_from_when_it_was_asked_for() -> None:
-    asker, peers = build(NEWEST, age_s=5.0)
-    answerer, others = build(NEWEST, age_s=0.4)
+def test_age_of_an_answer_counts_from_the_question() -> None:
+    asker, peers = build_node(NEWEST, age_s=5.0)
+    answerer, answerer_peers = build_node(NEWEST, age_s=0.4)
     answerer.answer(ask(asker, peers))
     assert isinstance(asker.clocks, SetClocks)
     asker.clocks.now += 3.0
-    part = others.sent[0][1]
+    part = answerer_peers.sent[0][1]
     assert isinstance(part, ConfigurationPart)
     asker.take(part)
     assert asker.get_age() == pytest.approx(3.4)
     assert not asker.is_current()
 
 
-def test_node_that_does_not_know_gives_no_answer() -> None:
-    asker, peers = build(OLDER, age_s=5.0)
-    answerer, others = build(NEWEST, age_s=1.9)
+def test_node_without_current_configuration_does_not_answer() -> None:
+    asker, peers = build_node(OLDER, age_s=5.0)
+    answerer, answerer_peers = build_node(NEWEST, age_s=1.9)
     answerer.answer(ask(asker, peers))
-    assert others.sent == []
+    assert answerer_peers.sent == []
 
 
-def test_older_version_changes_nothing() -> None:
-    asker, peers = build(NEWEST, age_s=5.0)
+def test_older_version_is_ignored() -> None:
+    asker, peers = build_node(NEWEST, age_s=5.0)
     question = ask(asker, peers)
     asker.take(ConfigurationPart(question.asked, 4, 0, 0, 1, b"older"))
     assert asker.routes.configuration == NEWEST
 
 
-def test_version_that_a_node_lacks_does_not_confirm_what_it_has() -> None:
-    lagging, peers = build(OLDER, age_s=5.0)
+def test_incomplete_newer_version_does_not_confirm_the_active_one() -> None:
+    lagging, peers = build_node(OLDER, age_s=5.0)
     question = ask(lagging, peers)
     lagging.take(ConfigurationPart(question.asked, 9, 0, 0, 2, b"part"))
     assert not lagging.is_current()
 
 
-def test_answer_that_nobody_asked_for_is_passed_over() -> None:
-    asker, _ = build(OLDER, age_s=5.0)
+def test_unrequested_answer_is_ignored() -> None:
+    asker, _ = build_node(OLDER, age_s=5.0)
     asker.take(ConfigurationPart(77, 9, 0))
     asker.take(ConfigurationPart(0, 4, 0))
     assert not asker.is_current()
