--- a/src/onyxgap/jobs/desk.py
+++ b/src/onyxgap/jobs/desk.py
@@ -1,4 +1,4 @@
-"""What callers may ask for, and how each request can end."""
+"""The API for callers (submit, read, cancel and count jobs) and its results."""
 
 import enum
 import typing as t
@@ -14,7 +14,7 @@
 
 
 class SubmitOutcome(enum.Enum):
-    """How a submission ended."""
+    """Outcome of a submission."""
 
     ACCEPTED = "accepted"
     OTHER_REQUEST = "other-request"
@@ -27,11 +27,11 @@
 
 @attrs.frozen(slots=True)
 class SubmitResult:
-    """The answer to a submission.
+    """Result of a submission.
 
-    :param outcome: how it ended.
-    :param reason: for the caller and the log.
-    :param retry_after_s: when a refused caller should come back.
+    :param outcome: the outcome.
+    :param reason: explanation for the caller and the log.
+    :param retry_after_s: seconds after which a rejected caller should retry.
     """
 
     outcome: SubmitOutcome
@@ -40,49 +40,49 @@
 
 
 class Unavailable(enum.Enum):
-    """Sentinels for an answer that cannot be given now."""
+    """Why a request cannot be answered now; returned in place of a result."""
 
-    STORE = "the store gives no answer"
-    CONFIGURATION = "no configuration yet"
-    COUNT = "how many jobs wait is not known here"
-    CONFIGURATION_AGE = "whether the configuration is the newest is not known here"
+    STORE = "store is not responding"
+    CONFIGURATION = "configuration is not loaded yet"
+    COUNT = "number of waiting jobs is not known on this node"
+    CONFIGURATION_AGE = "configuration may be outdated on this node"
 
 
 class Denied(enum.Enum):
-    """Sentinels for an answer that is for others only."""
+    """Why a caller may not have a result; returned in its place."""
 
-    OTHER_TENANT = "the job belongs to another tenant"
+    OTHER_TENANT = "job belongs to another tenant"
 
 
 class Desk(t.Protocol):
-    """Answers callers; the HTTP front only translates."""
+    """Answers requests of callers; the HTTP front end only translates them."""
 
     async def find_route(self, host: str, path: str) -> Route | None | Unavailable:
-        """Find the queue that a request is for."""
+        """Find the route of a request, ``None`` if there is no such queue."""
 
     async def identify(
         self, route: Route, keys: t.Sequence[bytes], job_id: str
     ) -> Caller | KeyFault | Unavailable:
-        """Find out who calls."""
+        """Identify the caller of a request by its keys."""
 
     def get_max_body_bytes(self) -> int:
-        """Give the longest body that is read."""
+        """Return the maximum size of a request body, in bytes."""
 
     async def submit(self, submission: Submission) -> SubmitResult:
-        """Accept a job, or say why not."""
+        """Submit a job; the result tells whether it was accepted."""
 
     async def get_state(
         self, route: Route, job_id: str, caller: Caller = ANYONE
     ) -> JobState | None | Unavailable | Denied:
-        """Give the state of a job, ``None`` where there is no such job."""
+        """Return the state of a job, ``None`` if there is no such job."""
 
     async def cancel(
         self, route: Route, job_id: str, caller: Caller = ANYONE
     ) -> bool | Unavailable | Denied:
-        """Cancel a job; false where there is no such job."""
+        """Cancel a job; returns false if there is no such job."""
 
     def count_waiting(self, route: Route) -> int | Unavailable:
-        """Count the jobs of a queue of which nothing has started."""
+        """Count the jobs of a queue of which no task has started."""
 
     def is_ready(self) -> bool:
-        """Tell whether new connections should come here."""
+        """Return whether the node is ready for new connections."""
