--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -1,4 +1,9 @@
-"""A worker that starts again under its id: nothing of its former life counts."""
+"""Tests workers that restart under the same id.
+
+Runs, sequence numbers of ends, clock and fencing token belong to one incarnation of a
+worker. If the owner applied them to the next one, it would count lost runs as present,
+ignore ends, miscompute start deadlines, or let a task run twice at once.
+"""
 
 import attrs
 import orjson
@@ -24,164 +29,170 @@
 from tests.test_shard import ENTRY
 from tests.test_shard import Bench
 
-FIRST, SECOND = 1_700_000_000_000, 1_700_000_007_000
+FIRST_START_MS, SECOND_START_MS = 1_700_000_000_000, 1_700_000_007_000
 SHORT = Step(1, cpu=1000, memory_mb=100, estimate_ms=500)
 
 
 @pytest.fixture
-def bench() -> Bench:
-    bench = Bench(Shard("s", epoch=3, claimed_at=50.0))
-    bench.add_worker("w1", born=FIRST)
-    return bench
+def harness() -> Bench:
+    harness = Bench(Shard("s", epoch=3, claimed_at=50.0))
+    harness.add_worker("w1", born=FIRST_START_MS)
+    return harness
 
 
 @pytest.mark.parametrize(
     ("known", "told", "sign"),
     [
         (0, 0, LifeSign.SAME),
-        (0, FIRST, LifeSign.SAME),
-        (FIRST, 0, LifeSign.SAME),
-        (FIRST, FIRST, LifeSign.SAME),
-        (FIRST, SECOND, LifeSign.LATER),
-        (SECOND, FIRST, LifeSign.FORMER),
+        (0, FIRST_START_MS, LifeSign.SAME),
+        (FIRST_START_MS, 0, LifeSign.SAME),
+        (FIRST_START_MS, FIRST_START_MS, LifeSign.SAME),
+        (FIRST_START_MS, SECOND_START_MS, LifeSign.LATER),
+        (SECOND_START_MS, FIRST_START_MS, LifeSign.FORMER),
     ],
 )
-def test_life_by_its_start(known: int, told: int, sign: LifeSign) -> None:
+def test_incarnations_are_compared_by_start_time(
+    known: int, told: int, sign: LifeSign
+) -> None:
     assert compare_life(known, told) is sign
 
 
-def register(bench: Bench, born: int, clock_ms: float = 10.0) -> None:
+def register(harness: Bench, born: int, clock_ms: float = 10.0) -> None:
     entry = attrs.evolve(ENTRY, born=born, clock_ms=clock_ms)
-    bench.shard.observe_worker(entry, bench.now)
+    harness.shard.observe_worker(entry, harness.now)
 
 
-def report(bench: Bench, born: int, clock_ms: float = 20.0) -> None:
-    bench.now += 0.01
-    bench.shard.apply_report(
-        "w1", HoldReport(clock_ms, (), (), born), bench.now, bench.now
+def report(harness: Bench, born: int, clock_ms: float = 20.0) -> None:
+    harness.now += 0.01
+    harness.shard.apply_report(
+        "w1", HoldReport(clock_ms, (), (), born), harness.now, harness.now
     )
 
 
 @pytest.mark.parametrize("sign", [register, report])
-def test_runs_of_a_former_life_are_lost(bench: Bench, sign: object) -> None:
-    job = bench.add_job(SHORT)
-    bench.start_all()
+def test_runs_of_a_previous_incarnation_are_lost(harness: Bench, sign: object) -> None:
+    job = harness.add_job(SHORT)
+    harness.start_all()
     assert callable(sign)
-    sign(bench, SECOND)
-    record = bench.shard.workers["w1"]
-    assert (record.born, record.held, record.seen) == (SECOND, False, 0)
+    sign(harness, SECOND_START_MS)
+    record = harness.shard.workers["w1"]
+    assert (record.born, record.held, record.seen) == (SECOND_START_MS, False, 0)
     assert record.acknowledged == 0
     assert not record.unproved
-    # nothing is started before it was held with the owner's fence
-    assert bench.plan() == []
-    settle(bench)
+    # The first hold request sets the owner's fencing token; nothing starts before.
+    assert harness.plan() == []
+    confirm_stops(harness)
     (task,) = job.occurrences[0].steps[0]
     assert task.phase is TaskPhase.WAITING
     assert record.cpu_used == 0
 
 
-def settle(bench: Bench) -> None:
-    """Have the new life answer orders to stop, and report that nothing runs there."""
-    for stop in bench.shard.list_stops(bench.now):
-        bench.shard.apply_stop_reply(stop, Reply(ReplyKind.DONE), bench.now)
-    report(bench, SECOND)
-
-
-def test_capacity_of_a_new_life_is_unknown_until_it_registers(bench: Bench) -> None:
-    report(bench, SECOND)
-    report(bench, SECOND, 30.0)
-    bench.add_job(SHORT)
-    assert bench.plan() == []
-    register(bench, SECOND, 40.0)
-    assert len(bench.plan()) == 1
+def confirm_stops(harness: Bench) -> None:
+    """Confirm the stop orders, then report that the new incarnation has no runs."""
+    for stop in harness.shard.list_stops(harness.now):
+        harness.shard.apply_stop_reply(stop, Reply(ReplyKind.DONE), harness.now)
+    report(harness, SECOND_START_MS)
 
 
-def test_clock_and_numbers_of_ends_start_anew(bench: Bench) -> None:
-    job = bench.add_job(SHORT, attrs.evolve(SHORT, after=(0,)))
-    (order,) = bench.start_all()
-    bench.report("w1", (order, EndKind.DONE))
-    assert bench.shard.workers["w1"].seen == 1
-    register(bench, SECOND)
-    report(bench, SECOND)
-    (order,) = bench.plan()
-    ready = bench.shard.prepare_start(order, bench.now)
+def test_capacity_of_a_new_incarnation_is_unknown_until_it_registers(
+    harness: Bench,
+) -> None:
+    report(harness, SECOND_START_MS)
+    report(harness, SECOND_START_MS, 30.0)
+    harness.add_job(SHORT)
+    assert harness.plan() == []
+    register(harness, SECOND_START_MS, 40.0)
+    assert len(harness.plan()) == 1
+
+
+def test_new_incarnation_resets_clock_and_end_sequence(harness: Bench) -> None:
+    job = harness.add_job(SHORT, attrs.evolve(SHORT, after=(0,)))
+    (order,) = harness.start_all()
+    harness.report("w1", (order, EndKind.DONE))
+    assert harness.shard.workers["w1"].seen == 1
+    register(harness, SECOND_START_MS)
+    report(harness, SECOND_START_MS)
+    (order,) = harness.plan()
+    ready = harness.shard.prepare_start(order, harness.now)
     assert ready is not None
     assert ready.deadline_ms < 2_000
-    bench.shard.apply_start_reply(ready, Reply(ReplyKind.DONE), bench.now)
-    bench.numbers.clear()
-    record = bench.shard.workers["w1"]
+    harness.shard.apply_start_reply(ready, Reply(ReplyKind.DONE), harness.now)
+    harness.numbers.clear()
+    record = harness.shard.workers["w1"]
     assert record.clock is not None
-    bench.report("w1", (order, EndKind.DONE))
+    harness.report("w1", (order, EndKind.DONE))
     assert record.seen == 1
     assert job.state.final
 
 
 @pytest.mark.parametrize("sign", [register, report])
-def test_late_word_of_a_former_life_changes_nothing(bench: Bench, sign: object) -> None:
-    register(bench, SECOND)
-    report(bench, SECOND)
-    bench.add_job(SHORT)
-    bench.start_all()
-    record = bench.shard.workers["w1"]
+def test_late_message_of_a_previous_incarnation_is_ignored(
+    harness: Bench, sign: object
+) -> None:
+    register(harness, SECOND_START_MS)
+    report(harness, SECOND_START_MS)
+    harness.add_job(SHORT)
+    harness.start_all()
+    record = harness.shard.workers["w1"]
     assert callable(sign)
-    sign(bench, FIRST)
-    assert bench.shard.workers["w1"] is record
+    sign(harness, FIRST_START_MS)
+    assert harness.shard.workers["w1"] is record
     assert record.present
-    assert (record.born, record.entry.born) == (SECOND, SECOND)
+    assert (record.born, record.entry.born) == (SECOND_START_MS, SECOND_START_MS)
 
 
 @pytest.mark.parametrize("answer", [ReplyKind.NO_ANSWER, ReplyKind.DONE])
-def test_order_that_may_have_reached_the_new_life_is_barred_there(
-    bench: Bench, answer: ReplyKind
+def test_start_that_may_have_reached_the_new_incarnation_is_ruled_out(
+    harness: Bench, answer: ReplyKind
 ) -> None:
-    job = bench.add_job(SHORT)
-    (order,) = bench.plan()
-    ready = bench.shard.prepare_start(order, bench.now)
+    job = harness.add_job(SHORT)
+    (order,) = harness.plan()
+    ready = harness.shard.prepare_start(order, harness.now)
     assert ready is not None
-    bench.shard.apply_start_reply(ready, Reply(answer), bench.now)
-    bench.add_worker("w2", born=FIRST)
-    register(bench, SECOND)
-    report(bench, SECOND)
+    harness.shard.apply_start_reply(ready, Reply(answer), harness.now)
+    harness.add_worker("w2", born=FIRST_START_MS)
+    register(harness, SECOND_START_MS)
+    report(harness, SECOND_START_MS)
     (task,) = job.occurrences[0].steps[0]
     assert task.placed
-    assert bench.plan() == []
-    # no report settles it before the stop is answered, whatever the old deadline was
-    bench.now += 60.0
-    report(bench, SECOND, 60_030.0)
+    assert harness.plan() == []
+    # No report releases the run before the stop is confirmed, whatever its deadline.
+    harness.now += 60.0
+    report(harness, SECOND_START_MS, 60_030.0)
     assert task.placed
-    (stop,) = bench.shard.list_stops(bench.now)
+    (stop,) = harness.shard.list_stops(harness.now)
     assert (stop.worker_id, stop.run) == ("w1", order.run)
-    bench.shard.apply_stop_reply(stop, Reply(ReplyKind.NO_ANSWER), bench.now)
-    report(bench, SECOND, 60_040.0)
+    harness.shard.apply_stop_reply(stop, Reply(ReplyKind.NO_ANSWER), harness.now)
+    report(harness, SECOND_START_MS, 60_040.0)
     assert task.placed
-    bench.shard.apply_stop_reply(stop, Reply(ReplyKind.DONE), bench.now)
+    harness.shard.apply_stop_reply(stop, Reply(ReplyKind.DONE), harness.now)
     assert task.placed
-    report(bench, SECOND, 60_050.0)
+    report(harness, SECOND_START_MS, 60_050.0)
     assert not task.placed
-    (again,) = bench.plan()
+    (again,) = harness.plan()
     assert again.run == order.run + 1
 
 
-def test_order_that_was_never_sent_need_not_be_barred(bench: Bench) -> None:
-    job = bench.add_job(SHORT)
-    bench.plan()
-    register(bench, SECOND)
+def test_start_order_that_was_never_sent_is_released_at_once(harness: Bench) -> None:
+    job = harness.add_job(SHORT)
+    harness.plan()
+    register(harness, SECOND_START_MS)
     (task,) = job.occurrences[0].steps[0]
     assert not task.placed
 
 
-def test_worker_that_tells_no_start_works_as_before(bench: Bench) -> None:
-    bench.add_worker("w2")
-    bench.add_worker("w2")
-    bench.add_job(SHORT)
-    bench.start_all()
-    record = bench.shard.workers["w2"]
-    bench.report("w2")
-    assert bench.shard.workers["w2"] is record
+def test_worker_without_start_time_keeps_its_record(harness: Bench) -> None:
+    harness.add_worker("w2")
+    harness.add_worker("w2")
+    harness.add_job(SHORT)
+    harness.start_all()
+    record = harness.shard.workers["w2"]
+    harness.report("w2")
+    assert harness.shard.workers["w2"] is record
 
 
 @pytest.mark.parametrize("born", ["17", 1.5, True, None, [], {}])
-def test_start_of_another_type_names_nothing_to_use(born: object) -> None:
+def test_start_time_of_another_type_is_rejected(born: object) -> None:
     value = {"service": "s", "address": "w:1", "clock_ms": 1, "born": born}
     with pytest.raises(DocumentError):
         registry.decode_worker("w1", orjson.dumps(value))
@@ -189,12 +200,14 @@
     assert not isinstance(decode_report(Answer(200, body)), HoldReport)
 
 
-def test_start_is_read() -> None:
-    value = {"service": "s", "address": "w:1", "clock_ms": 1, "born": FIRST}
-    assert registry.decode_worker("w1", orjson.dumps(value)).born == FIRST
-    read = decode_report(Answer(200, orjson.dumps({"clock_ms": 1, "born": FIRST})))
+def test_start_time_is_decoded() -> None:
+    value = {"service": "s", "address": "w:1", "clock_ms": 1, "born": FIRST_START_MS}
+    assert registry.decode_worker("w1", orjson.dumps(value)).born == FIRST_START_MS
+    read = decode_report(
+        Answer(200, orjson.dumps({"clock_ms": 1, "born": FIRST_START_MS}))
+    )
     assert isinstance(read, HoldReport)
-    assert read.born == FIRST
+    assert read.born == FIRST_START_MS
 
 
 DAYS = {
@@ -217,25 +230,27 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_rules_hold_on_days_of_workers_that_start_again(name: str) -> None:
+def test_no_breaches_when_workers_restart_under_the_same_id(name: str) -> None:
     for seed in (1, 2, 3):
         assert play(extend_day("short", DAYS[name]), seed).breaches == []
 
 
-def build_restless_day() -> Script:
-    moments = [4 + 0.9 * number for number in range(11)]
-    return extend_day("short", *[f"at {at} rebear vm ring for 0.004" for at in moments])
+def build_day_with_restarts() -> Script:
+    times = [4 + 0.9 * number for number in range(11)]
+    return extend_day("short", *[f"at {at} rebear vm ring for 0.004" for at in times])
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
-def test_rules_hold_where_workers_start_again_eleven_times(seed: int) -> None:
-    assert play(build_restless_day(), seed).breaches == []
+def test_no_breaches_when_workers_restart_eleven_times(seed: int) -> None:
+    assert play(build_day_with_restarts(), seed).breaches == []
 
 
-def test_run_that_is_not_barred_in_the_new_life_is_noticed(
+def test_breach_is_found_if_starts_are_not_ruled_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def leave_out_bar(patch: pytest.MonkeyPatch) -> None:
+    def disable_ruling_out(patch: pytest.MonkeyPatch) -> None:
         patch.setattr(Shard, "_bar", lambda *_: None)
 
-    assert_noticed(build_restless_day(), "twice", (1,), leave_out_bar, monkeypatch)
+    assert_noticed(
+        build_day_with_restarts(), "twice", (1,), disable_ruling_out, monkeypatch
+    )
--- a/tests/test_shrinking_workers.py
+++ b/tests/test_shrinking_workers.py
@@ -1,4 +1,8 @@
-"""Workers whose capacity shrinks and grows again while they run."""
+"""Tests workers whose capacity shrinks and grows again while they run.
+
+Guards against overcommitted workers: unguarded ones start whatever they are ordered to,
+so the owner must not place tasks by a registration that may be outdated.
+"""
 
 import attrs
 import pytest
@@ -29,62 +33,62 @@
 
 
 @pytest.fixture
-def bench() -> Bench:
-    made = Bench(Shard("s", epoch=3, claimed_at=50.0))
-    made.add_worker("w1", cpu=4000)
-    return made
+def harness() -> Bench:
+    harness = Bench(Shard("s", epoch=3, claimed_at=50.0))
+    harness.add_worker("w1", cpu=4000)
+    return harness
 
 
-def resize(bench: Bench, cpu: int) -> None:
-    entry = bench.shard.workers["w1"].entry
-    bench.shard.observe_worker(attrs.evolve(entry, cpu=cpu), bench.now)
+def resize(harness: Bench, cpu: int) -> None:
+    entry = harness.shard.workers["w1"].entry
+    harness.shard.observe_worker(attrs.evolve(entry, cpu=cpu), harness.now)
 
 
-def test_nothing_starts_beyond_a_capacity_that_has_shrunk(bench: Bench) -> None:
-    bench.add_job(Step(8, cpu=1000))
-    first, second, *_ = bench.start_all()
-    resize(bench, 2000)
-    bench.report("w1", (first, EndKind.DONE), (second, EndKind.DONE))
-    assert bench.plan() == []
-    resize(bench, 4000)
-    assert len(bench.plan()) == 2
+def test_nothing_starts_above_a_reduced_capacity(harness: Bench) -> None:
+    harness.add_job(Step(8, cpu=1000))
+    first, second, *_ = harness.start_all()
+    resize(harness, 2000)
+    harness.report("w1", (first, EndKind.DONE), (second, EndKind.DONE))
+    assert harness.plan() == []
+    resize(harness, 4000)
+    assert len(harness.plan()) == 2
 
 
-def test_unguarded_worker_is_passed_over_until_it_tells_its_room_again(
-    bench: Bench,
+def test_unguarded_worker_is_skipped_until_it_registers_its_capacity_again(
+    harness: Bench,
 ) -> None:
-    bench.shard.set_room_validity(2.5)
-    bench.add_job(Step(1, cpu=1000))
-    # it may have shrunk before this owner took over
-    assert bench.plan() == []
-    resize(bench, 4000)
-    assert len(bench.plan()) == 1
-    bench.add_job(Step(1, cpu=1000), job_id="b" * 16)
-    bench.now += 2.6
-    bench.report("w1")
-    assert bench.plan() == []
-    resize(bench, 4000)
-    assert len(bench.plan()) == 1
-
-
-def test_worker_that_refuses_is_relied_on_without_end(bench: Bench) -> None:
-    bench.add_job(Step(1, cpu=1000))
-    bench.now += 60.0
-    bench.report("w1")
-    assert len(bench.plan()) == 1
-
-
-def test_what_is_being_stopped_still_takes_room(bench: Bench) -> None:
-    bench.add_job(Step(4, cpu=1000))
-    bench.start_all()
-    bench.shard.cancel("a" * 16)
-    bench.shard.list_stops(bench.now)
-    bench.add_job(Step(1, cpu=1000), job_id="b" * 16)
-    assert bench.plan() == []
+    harness.shard.set_room_validity(2.5)
+    harness.add_job(Step(1, cpu=1000))
+    # The worker may have shrunk before this owner claimed the shard.
+    assert harness.plan() == []
+    resize(harness, 4000)
+    assert len(harness.plan()) == 1
+    harness.add_job(Step(1, cpu=1000), job_id="b" * 16)
+    harness.now += 2.6
+    harness.report("w1")
+    assert harness.plan() == []
+    resize(harness, 4000)
+    assert len(harness.plan()) == 1
+
+
+def test_capacity_of_a_guarded_worker_does_not_expire(harness: Bench) -> None:
+    harness.add_job(Step(1, cpu=1000))
+    harness.now += 60.0
+    harness.report("w1")
+    assert len(harness.plan()) == 1
+
+
+def test_runs_being_stopped_still_occupy_capacity(harness: Bench) -> None:
+    harness.add_job(Step(4, cpu=1000))
+    harness.start_all()
+    harness.shard.cancel("a" * 16)
+    harness.shard.list_stops(harness.now)
+    harness.add_job(Step(1, cpu=1000), job_id="b" * 16)
+    assert harness.plan() == []
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_no_start_brings_an_unguarded_worker_over_its_capacity(name: str) -> None:
+def test_no_start_overcommits_an_unguarded_worker(name: str) -> None:
     day = extend_day("short", DAYS[name])
     pools = [attrs.evolve(line, guarded=0) for line in day.pools]
     result = play(attrs.evolve(day, pools=pools), seed=5)
