--- a/src/onyxgap/daemons/__init__.py
+++ b/src/onyxgap/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Thin programs that tie pipes to adapters."""
+"""Processes of a deployment: nodes, entries and controls, wired to their adapters."""
--- a/src/onyxgap/daemons/reading.py
+++ b/src/onyxgap/daemons/reading.py
@@ -1,4 +1,4 @@
-"""Reads several partitions of the store at once; answers a slow store at a claim."""
+"""Concurrent reads of several partitions of the store."""
 
 import typing as t
 
@@ -10,30 +10,30 @@
 
 
 async def read_at_once(
-    store: Store, wanted: t.Sequence[tuple[str, str]]
+    store: Store, partitions: t.Sequence[tuple[str, str]]
 ) -> tuple[Page, ...]:
-    """Read partitions, all at the same time.
+    """Read several partitions concurrently.
 
-    A new owner starts nothing before it has read its rows, and one after the other they
-    take it seconds while the store is slow.
+    A new owner of a shard starts no tasks before it has read the shard's rows. While
+    the store is slow, reading them one after the other takes seconds.
 
     :param store: the store.
-    :param wanted: table and partition of each.
-    :returns: the pages, in the same order.
-    :raises PlatformUnavailableError: when no answer came to one of them.
+    :param partitions: table and name of each partition.
+    :returns: the pages, in the order of ``partitions``.
+    :raises PlatformUnavailableError: if any of the reads got no answer.
     """
     pages: dict[int, Page] = {}
     errors: list[PlatformUnavailableError] = []
 
-    async def read(number: int, table: str, part: str) -> None:
+    async def read(index: int, table: str, part: str) -> None:
         try:
-            pages[number] = await store.read(table, part)
+            pages[index] = await store.read(table, part)
         except PlatformUnavailableError as error:
             errors.append(error)
 
     async with anyio.create_task_group() as group:
-        for number, (table, part) in enumerate(wanted):
-            group.start_soon(read, number, table, part)
+        for index, (table, part) in enumerate(partitions):
+            group.start_soon(read, index, table, part)
     if errors:
         raise errors[0]
-    return tuple(pages[number] for number in range(len(wanted)))
+    return tuple(pages[index] for index in range(len(partitions)))
--- a/src/onyxgap/daemons/retention.py
+++ b/src/onyxgap/daemons/retention.py
@@ -1,4 +1,4 @@
-"""Removes rows that nobody needs any more, a page at a time."""
+"""Removal of expired claims and of rows of processes that are gone."""
 
 import attrs
 import structlog
@@ -12,18 +12,20 @@
 from ..shared.membership import Membership
 
 OWNER_KEY = "retention"
+"""Hashed to choose the control process that removes expired rows."""
+
 _LOG = structlog.get_logger()
 
 
 @attrs.define
 class Sweeper:
-    """Sweeps old claims and the rows of members that are long gone.
+    """Removes expired claims on idempotency keys and rows of lapsed members.
 
-    Each deletion is conditional on the version that was read, so that a row
-    which has changed meanwhile stays.
+    Each deletion is conditional on the version that was read, so a row that has
+    changed since then is kept.
 
     :param platform: the platform's table.
-    :param removed: rows removed so far.
+    :param removed: number of rows removed so far.
     """
 
     platform: Platform
@@ -31,29 +33,36 @@
     _cursor: str = CLAIM_PREFIX
 
     async def sweep_claims(self, wall: float) -> None:
-        """Look at the next page of claims and remove those past retention.
+        """Remove the expired claims of the next page of claims.
 
-        :param wall: wall-clock seconds.
-        :raises PlatformUnavailableError: when the store does not answer.
+        :param wall: current wall-clock time, in seconds.
+        :raises PlatformUnavailableError: if the store does not answer.
         """
         rows = await self.platform.scan(
             CLAIM_PREFIX, self._cursor, defaults.SWEEP_PAGE_ROWS
         )
         self._cursor = rows[-1].key if rows else CLAIM_PREFIX
-        limit = wall - defaults.CLAIM_RETENTION_S
+        expired_before = wall - defaults.CLAIM_RETENTION_S
         await self._remove(
-            [Put(row.key, None, row.version) for row in rows if row.value["at"] < limit]
+            [
+                Put(row.key, None, row.version)
+                for row in rows
+                if row.value["at"] < expired_before
+            ]
         )
 
     async def sweep_members(self, membership: Membership, now: float) -> None:
-        """Remove the rows of members that lapsed long ago.
+        """Remove the rows of members silent for longer than ``MEMBER_FORGET_S``.
 
-        :param membership: the members as this process sees them.
-        :param now: monotonic seconds.
+        :param membership: the members as seen by this process.
+        :param now: current monotonic time, in seconds.
         """
-        gone = membership.list_forgotten(now, defaults.MEMBER_FORGET_S)
+        forgotten = membership.list_forgotten(now, defaults.MEMBER_FORGET_S)
         await self._remove(
-            [Put(f"{MEMBER_PREFIX}{name}", None, version) for name, version in gone]
+            [
+                Put(f"{MEMBER_PREFIX}{name}", None, version)
+                for name, version in forgotten
+            ]
         )
 
     async def _remove(self, puts: list[Put]) -> None:
--- a/src/onyxgap/daemons/rows.py
+++ b/src/onyxgap/daemons/rows.py
@@ -1,4 +1,4 @@
-"""Decoding of rows of the store that skips malformed rows."""
+"""Decoding of the store's rows that skips and counts malformed rows."""
 
 import collections
 import typing as t
@@ -23,11 +23,11 @@
 ) -> t.Iterator[tuple[StoredRow, T | None]]:
     """Decode rows one by one; log and count those that cannot be decoded.
 
-    No error of ``decode`` is passed on: it would end the task group of the caller, and
-    do so again at every restart until the row is removed.
+    Errors of ``decode`` are not raised: an error would cancel the caller's task group,
+    and would do so again after every restart until the row is removed.
 
     :param rows: the rows.
-    :param decode: decodes one row.
+    :param decode: decodes one row that has not been removed.
     :param skipped: incremented for each row that could not be decoded.
     :param event: log event for a row that could not be decoded.
     :returns: each row with its value, or ``None`` if the row was removed or could not
