--- a/src/onyxgap/daemons/authentication.py
+++ b/src/onyxgap/daemons/authentication.py
@@ -1,8 +1,9 @@
-"""Tells who calls, by the version of the configuration that is surely in force.
+"""Authentication of API callers by the keys in the current configuration.
 
-Keys are taken back while nodes cannot hear the store. A node that cannot know whether
-its version is still in force refuses calls that need a key for the time being: nothing
-can be handed in without the store anyhow, and a key that was taken back stays so.
+Keys may be revoked while a node cannot reach the store. A node that does not know
+whether its configuration is still current therefore rejects calls that need a key, so
+that a revoked key is not accepted again. Little is lost: without the store the node
+cannot accept jobs anyway.
 """
 
 import typing as t
@@ -20,34 +21,36 @@
 from .configuration_exchange import ConfigurationExchange
 
 LOGGED_PER_S = 20
-"""Refusals a second that get a line of their own; the others are only counted."""
+"""Maximum number of rejections logged per second; the others are only counted."""
 
 _LOG = structlog.get_logger()
 
 
 @attrs.define(eq=False)
 class Authentication:
-    """Identifies the callers of one node.
+    """Identifies the callers of one node by their keys.
 
     :param routes: the configuration in force.
-    :param exchange: tells whether that version is the newest.
-    :param on_refused: counts a refusal by its reason.
+    :param exchange: knows whether that configuration is current.
+    :param on_refused: called with the reason of each rejection.
     """
 
     routes: RouteTable
     exchange: ConfigurationExchange
     on_refused: t.Callable[[str], None] = lambda reason: None
-    _second: int = 0
-    _logged: int = 0
-    _unlogged: int = 0
+    _current_second: int = 0
+    _logged_in_second: int = 0
+    _suppressed: int = 0
 
     async def identify(
         self, route: Route, keys: t.Sequence[bytes], job_id: str
     ) -> Caller | KeyFault | Unavailable:
-        """Find out who calls.
+        """Identify the caller of a queue.
 
-        :param route: the queue that is called.
-        :param keys: all keys that were sent.
+        An unknown key is rejected only after the newest configuration has been read.
+
+        :param route: route of the queue.
+        :param keys: all keys sent with the call.
         :param job_id: job of the call, for the log.
         """
         if not self.routes.needs_key(route):
@@ -60,31 +63,31 @@
                 return Unavailable.CONFIGURATION_AGE
             caller = identify(keys, self.routes.keys)
         if isinstance(caller, KeyFault):
-            self.note_refusal(caller.value, route, job_id)
+            self.record_rejection(caller.value, route, job_id)
         return caller
 
-    def note_refusal(self, reason: str, route: Route, job_id: str) -> None:
-        """Count and log a refusal.
+    def record_rejection(self, reason: str, route: Route, job_id: str) -> None:
+        """Count and log a rejected call.
 
-        :param reason: why.
-        :param route: the queue that was called.
+        :param reason: reason of the rejection.
+        :param route: route of the queue.
         :param job_id: job of the call.
         """
         self.on_refused(reason)
         second = int(self.exchange.clocks.read_boot())
-        if second != self._second:
-            self._second, self._logged = second, 0
-        if self._logged >= LOGGED_PER_S:
-            self._unlogged += 1
+        if second != self._current_second:
+            self._current_second, self._logged_in_second = second, 0
+        if self._logged_in_second >= LOGGED_PER_S:
+            self._suppressed += 1
             return
-        self._logged += 1
+        self._logged_in_second += 1
         configuration = self.routes.configuration
         _LOG.info(
-            "caller refused",
+            "caller rejected",
             job=job_id,
             queue=route.policy.queue,
             reason=reason,
             configuration=configuration.version if configuration else 0,
-            unlogged=self._unlogged,
+            unlogged=self._suppressed,
         )
-        self._unlogged = 0
+        self._suppressed = 0
--- a/src/onyxgap/daemons/configuration_exchange.py
+++ b/src/onyxgap/daemons/configuration_exchange.py
@@ -1,9 +1,12 @@
-"""Tells how current a node's configuration is, and gets newer ones from others.
+"""Tracks whether a node's configuration is current; exchanges it with other nodes.
 
-Answers a store that turns a node away while the operator takes keys and routes back:
-the node goes on by what others hear, and refuses once none of them knows either.
-Answers feeds that hear nothing for a while, too: before a key or a route is refused
-that a newer version might know, the row is read, by all such calls of a second at once.
+The store may refuse a node's calls while the operator revokes keys and removes routes.
+The node then gets the newest configuration from other nodes. Once none of them can
+confirm it either, the node rejects calls that depend on it.
+
+Change feeds of the store may also stall. Before a node rejects a key or route that a
+newer configuration might contain, it reads the configuration's row. One read serves all
+such calls within a second.
 """
 
 import math
@@ -28,62 +31,62 @@
 from ..jobs.routing import RouteTable
 
 VALID_SHARE = 0.65
-"""Share of the time in which a version must be in force for which the one in force is
-relied on unconfirmed; the rest is for feeds that hear nothing for a second."""
-ASK_SHARE = 0.75
-"""Share of that time after which others are asked."""
-ASK_PAUSE_S = 0.2
-"""Pause between two questions."""
-ASKED_NODES = 3
-"""Nodes that are asked at once: one of them mostly hears the store."""
+"""Age up to which the configuration in force counts as current, as a fraction of
+``propagation_limit_s``; the rest allows for feeds that report nothing for a second."""
+QUERY_FRACTION = 0.75
+"""Fraction of that age after which other nodes are queried."""
+QUERY_INTERVAL_S = 0.2
+"""Pause between two queries."""
+QUERY_FANOUT = 3
+"""Nodes queried at once; usually at least one of them can reach the store."""
 READ_VALID_S = 1.0
-"""Time for which one read of the row answers for all refusals."""
-KEPT_QUESTIONS = 50
-"""Questions whose answers are still taken, those of the last ten seconds."""
+"""Time for which the result of one read of the row is used for further rejections."""
+MAX_OPEN_QUERIES = 50
+"""Queries whose answers are still accepted: those of the last ten seconds."""
 
 _LOG = structlog.get_logger()
 
 
 @attrs.define(eq=False)
 class ConfigurationExchange:
-    """How current a node's configuration is, and how it hears of newer ones.
+    """Knows whether a node's configuration is current and gets newer ones from peers.
 
     :param routes: the configuration in force.
     :param clocks: the process's clocks.
-    :param rng: draws who is asked.
-    :param bound_s: time within which a new version must be in force.
-    :param peers: other nodes.
-    :param members: their addresses.
-    :param read_newest: reads the operator's row and takes it in.
+    :param rng: chooses the nodes to query.
+    :param propagation_limit_s: time within which a new configuration must be in force.
+    :param peers: sends queries and answers to other nodes.
+    :param members: all nodes, with their addresses.
+    :param read_newest: reads the configuration's row from the store and applies it.
     """
 
     routes: RouteTable
     clocks: Clocks
     rng: random.Random
-    bound_s: float
+    propagation_limit_s: float
     peers: Peers
     members: t.Mapping[str, Member]
     read_newest: t.Callable[[], t.Awaitable[None]]
     _reading: anyio.Lock = attrs.field(factory=anyio.Lock)
     _read_at: float = -math.inf
     _read_done: bool = False
-    _asked: int = 0
-    _asked_at: dict[int, float] = attrs.field(factory=dict)
+    _last_query_id: int = 0
+    _queried_at: dict[int, float] = attrs.field(factory=dict)
     _assembly: Assembly = attrs.field(factory=Assembly)
     _encoded: tuple[int, list[bytes]] = (0, [])
 
     def get_age(self) -> float:
-        """Give seconds since the version in force was known to be the newest."""
+        """Return the seconds since the configuration was last confirmed as newest."""
         return self.clocks.read_boot() - self.routes.confirmed_at
 
     def is_current(self) -> bool:
-        """Tell whether the version in force may be relied on."""
-        return self.get_age() <= self.bound_s * VALID_SHARE
+        """Return whether the configuration was confirmed recently enough to be used."""
+        return self.get_age() <= self.propagation_limit_s * VALID_SHARE
 
     async def make_sure(self) -> bool:
-        """Make sure that the version in force is the newest, or nearly so.
+        """Read the configuration's row, unless it was read within ``READ_VALID_S``.
 
-        :returns: false where that cannot be found out now.
+        :returns: whether that read succeeded and the configuration is current.
         """
         async with self._reading:
             now = self.clocks.read_boot()
@@ -92,51 +95,59 @@
                 try:
                     await self.read_newest()
                 except PlatformUnavailableError as error:
-                    _LOG.info("configuration not read", reason=str(error))
+                    _LOG.info(
+                        "configuration could not be read from the store",
+                        reason=str(error),
+                    )
                 else:
                     self.routes.confirm(0, now)
                     self._read_done = True
         return self._read_done and self.is_current()
 
     async def run(self) -> t.NoReturn:
-        """Ask others whenever the store does not tell, for ever."""
+        """Query other nodes while the store does not confirm the configuration."""
         while True:
-            await anyio.sleep(ASK_PAUSE_S)
-            if self.get_age() > self.bound_s * VALID_SHARE * ASK_SHARE:
+            await anyio.sleep(QUERY_INTERVAL_S)
+            if self.get_age() > self.propagation_limit_s * VALID_SHARE * QUERY_FRACTION:
                 self._ask()
 
     def _ask(self) -> None:
-        own = self.peers.get_address()
+        own_address = self.peers.get_address()
         others = [
-            item for item in self.members.values() if item.address not in ("", own)
+            member
+            for member in self.members.values()
+            if member.address not in ("", own_address)
         ]
         configuration = self.routes.configuration
         version = configuration.version if configuration else 0
-        self._asked += 1
-        self._asked_at[self._asked] = self.clocks.read_boot()
-        self._asked_at.pop(self._asked - KEPT_QUESTIONS, None)
-        question = ConfigurationQuestion(own, self._asked, version)
-        for member in self.rng.sample(others, min(ASKED_NODES, len(others))):
-            self.peers.send(member.address, question)
+        self._last_query_id += 1
+        self._queried_at[self._last_query_id] = self.clocks.read_boot()
+        self._queried_at.pop(self._last_query_id - MAX_OPEN_QUERIES, None)
+        query = ConfigurationQuestion(own_address, self._last_query_id, version)
+        for member in self.rng.sample(others, min(QUERY_FANOUT, len(others))):
+            self.peers.send(member.address, query)
+
+    def answer(self, query: ConfigurationQuestion) -> None:
+        """Answer another node's query, unless this node's configuration is not current.
 
-    def answer(self, question: ConfigurationQuestion) -> None:
-        """Answer another node, unless this one does not know either.
+        The answer contains the configuration if it is newer than that of the other
+        node.
 
-        :param question: its question.
+        :param query: the query.
         """
         configuration = self.routes.configuration
         if configuration is None or not self.is_current():
             return
         age_ms = max(0, round(self.get_age() * 1000))
         parts: list[bytes] = []
-        if configuration.version > question.version:
+        if configuration.version > query.version:
             parts = self._encode(configuration)
-        head = ConfigurationPart(question.asked, configuration.version, age_ms)
+        head = ConfigurationPart(query.asked, configuration.version, age_ms)
         if not parts:
-            self.peers.send(question.sender, head)
+            self.peers.send(query.sender, head)
         for number, content in enumerate(parts):
             part = attrs.evolve(head, part=number, parts=len(parts), content=content)
-            self.peers.send(question.sender, part)
+            self.peers.send(query.sender, part)
 
     def _encode(self, configuration: Configuration) -> list[bytes]:
         if self._encoded[0] != configuration.version:
@@ -145,23 +156,29 @@
         return self._encoded[1]
 
     def take(self, part: ConfigurationPart) -> None:
-        """Take in an answer, or a part of it.
+        """Process an answer to a query, or one part of it.
 
-        :param part: the part.
+        Answers to unknown or expired queries are ignored.
+
+        :param part: the answer or part.
         """
-        asked_at = self._asked_at.get(part.asked)
-        if asked_at is None:
+        queried_at = self._queried_at.get(part.asked)
+        if queried_at is None:
             return
         if part.parts:
-            self._adopt(part)
-        # what the other knew when it was asked, at the latest
-        self.routes.confirm(part.version, asked_at - part.age_ms / 1000)
+            self._add_part(part)
+        # the time at which the answer was sent is unknown, so its age counts from the
+        # query: the configuration never seems to be confirmed later than it was
+        self.routes.confirm(part.version, queried_at - part.age_ms / 1000)
 
-    def _adopt(self, part: ConfigurationPart) -> None:
+    def _add_part(self, part: ConfigurationPart) -> None:
         try:
             configuration = self._assembly.add(part)
         except DocumentError as error:
-            _LOG.warning("configuration of a node skipped", reason=str(error))
+            _LOG.warning(
+                "configuration from another node could not be decoded",
+                reason=str(error),
+            )
             return
         if configuration is not None and self.routes.adopt(configuration):
             _LOG.info(
--- a/src/onyxgap/daemons/desk.py
+++ b/src/onyxgap/daemons/desk.py
@@ -1,4 +1,4 @@
-"""Answers callers from the store and from the shards that this node owns."""
+"""Job API of a node, served from the store and from the shards that the node owns."""
 
 import typing as t
 
@@ -45,34 +45,39 @@
 from .authentication import Authentication
 from .owner import ShardOwner
 
-SETTLE_S = 2.0
-"""How long a write without an answer is settled; callers wait for 3 s."""
-SETTLE_PAUSE_S = 0.08
-"""Pause between two tries of a write without an answer; the timeout comes on top."""
+WRITE_RETRY_LIMIT_S = 2.0
+"""How long a write with unknown outcome is retried; callers time out after 3 s."""
+WRITE_RETRY_PAUSE_S = 0.08
+"""Pause between two attempts of such a write, in addition to the write's timeout."""
 OUTAGE_RETRY_AFTER_S = 2
-"""Outages last 4 to 9 s and callers try five times; other nodes may serve sooner."""
-MAX_REMEMBERED = 4_000
-"""Final states kept in memory; about 100 bytes each."""
+"""Outages last 4 to 9 s and callers try five times; other nodes may answer sooner."""
+MAX_CACHED_STATUSES = 4_000
+"""Statuses of ended jobs cached in memory; about 100 bytes each."""
 
 _LOG = structlog.get_logger()
 
 
 @attrs.define
 class NodeDesk:
-    """Answers callers of one node.
+    """Answers API calls from the store and from the shards that the node owns.
 
     :param store: the store.
-    :param health: whether it answers.
+    :param health: whether the store answers.
     :param clocks: the process's clocks.
     :param routes: the configuration in force.
-    :param views: what is known of the shards' owners.
-    :param owners: shards that this node owns.
-    :param authentication: tells who calls.
-    :param on_stored: tells a shard's owner that a row of its submissions was stored.
-    :param gate: judges whether a job can be of use; ``None`` where all are accepted.
-    :param count_nodes: counts the nodes that take calls.
-    :param may_pass: tells whether another node is likelier to answer than the store is.
-    :param on_answer: counts an answer: what was asked, outcome, seconds.
+    :param views: newest owner row of each shard, as seen by this node.
+    :param owners: owned shards by name.
+    :param authentication: identifies callers.
+    :param on_stored: notifies the owner of a shard, given the shard and the key of the
+        stored submission or cancellation.
+    :param admission: rejects jobs that would start too late to be useful; ``None`` to
+        accept all.
+    :param should_forward: returns whether another node is more likely to answer than
+        the store.
+    :param count_nodes: returns the number of nodes that accept jobs.
+    :param on_answer: called after each answer with the kind of call, its outcome and
+        its duration in seconds.
+    :param stopping: whether the node is shutting down.
     """
 
     store: Store
@@ -83,15 +88,18 @@
     owners: dict[str, ShardOwner]
     authentication: Authentication
     on_stored: t.Callable[[str, str], None] = lambda *_: None
-    gate: Gate | None = None
-    may_pass: t.Callable[[], bool] = lambda: False
+    admission: Gate | None = None
+    should_forward: t.Callable[[], bool] = lambda: False
     count_nodes: t.Callable[[], int] = lambda: 1
     on_answer: t.Callable[[str, str, float], None] = lambda *_: None
     stopping: bool = False
-    _final: dict[str, JobStatus] = attrs.field(factory=dict)
+    _final_statuses: dict[str, JobStatus] = attrs.field(factory=dict)
 
     async def find_route(self, host: str, path: str) -> Route | None | Unavailable:
-        """Find the queue that a request is for."""
+        """Find the route of a request, ``None`` if there is none.
+
+        A missing route is reported only after the newest configuration has been read.
+        """
         if self.routes.configuration is None:
             return Unavailable.CONFIGURATION
         route = self.routes.find(host, path)
@@ -104,20 +112,20 @@
     async def identify(
         self, route: Route, keys: t.Sequence[bytes], job_id: str
     ) -> Caller | KeyFault | Unavailable:
-        """Find out who calls."""
+        """Identify the caller of a queue."""
         return await self.authentication.identify(route, keys, job_id)
 
     def get_max_body_bytes(self) -> int:
-        """Give the longest body that is read."""
+        """Return the maximum size of a request body."""
         configuration = self.routes.configuration
         return configuration.max_body_bytes if configuration else DEFAULT_BODY_BYTES
 
     def is_configuration_current(self) -> bool:
-        """Tell whether the version in force may be relied on."""
+        """Return whether the configuration in force is current."""
         return self.authentication.exchange.is_current()
 
     def is_ready(self) -> bool:
-        """Tell whether new connections should come here."""
+        """Return whether the node should get new connections."""
         return (
             not self.stopping
             and self.routes.configuration is not None
@@ -128,7 +136,7 @@
         return self.health.is_down(self.clocks.read_monotonic())
 
     async def submit(self, submission: Submission) -> SubmitResult:
-        """Accept a job, or say why not."""
+        """Accept a job or return why it was not accepted."""
         started = self.clocks.read_monotonic()
         result = await self._submit(submission)
         took_s = self.clocks.read_monotonic() - started
@@ -146,7 +154,7 @@
         return result
 
     def get_version(self) -> int:
-        """Give the version of the configuration in force, 0 before the first."""
+        """Return the version of the configuration in force, 0 if there is none."""
         configuration = self.routes.configuration
         return configuration.version if configuration else 0
 
@@ -156,63 +164,65 @@
             return SubmitResult(SubmitOutcome.REFUSED, reason, OUTAGE_RETRY_AFTER_S)
         for shard in self.routes.list_former(submission.policy):
             try:
-                known = await self._read_submission(shard, submission.job_id)
+                stored = await self._read_submission(shard, submission.job_id)
             except PlatformUnavailableError as error:
                 return SubmitResult(SubmitOutcome.REFUSED, str(error))
-            if known is not None:
-                return _compare(known, submission)
-        refusal = self._check_cap(submission) or self._judge(submission)
-        if refusal is not None:
-            return await self._refuse_unless_known(submission, refusal)
+            if stored is not None:
+                return _compare(stored, submission)
+        rejection = self._check_cap(submission) or self._check_load(submission)
+        if rejection is not None:
+            return await self._reject_unless_stored(submission, rejection)
         accepted_ms = int(self.clocks.read_wall() * 1000)
         return await self._store(attrs.evolve(submission, accepted_ms=accepted_ms))
 
     def _check_cap(self, submission: Submission) -> SubmitResult | None:
-        """Give the refusal of what can never run within its tenant's cap."""
+        """Reject a job with a step that can never run within its tenant's cap."""
         if not submission.tenant:
             return None
         cap = self.routes.find_cap(submission.tenant)
         step = find_step_above(submission.steps, cap)
         if step is None:
             return None
-        reason = f"$.steps[{step}]: asks for more than its tenant may have running"
+        reason = f"$.steps[{step}]: requests more resources than the cap of its tenant"
         return SubmitResult(SubmitOutcome.ABOVE_CAP, reason)
 
-    def _judge(self, submission: Submission) -> SubmitResult | None:
-        """Give the refusal of what can no longer be of use, by its shard's line."""
+    def _check_load(self, submission: Submission) -> SubmitResult | None:
+        """Reject a job that would wait too long, as estimated by its shard's owner."""
         view = self.views.get(submission.policy.service)
         now = self.clocks.read_monotonic()
         report = view.get_load_report(now) if view is not None else None
-        if self.gate is None or report is None:
+        if self.admission is None or report is None:
             return None
         try:
-            outlook = decode_outlook(report.outlook)
+            estimate = decode_outlook(report.outlook)
         except (TypeError, KeyError) as error:
-            _LOG.warning("outlook skipped", reason=repr(error))
+            _LOG.warning("delay estimate could not be decoded", reason=repr(error))
             return None
-        overload = self.gate.judge(submission, outlook, self.count_nodes(), now)
+        overload = self.admission.judge(submission, estimate, self.count_nodes(), now)
         if overload is None:
             return None
-        line_s = overload.line.of_use_s
-        reason = f"{line_s:.1f} s of work are waiting, {overload.use_s:.1f} s are left"
+        delay_s = overload.line.of_use_s
+        reason = (
+            f"queueing delay of {delay_s:.1f} s exceeds slack of {overload.use_s:.1f} s"
+        )
         return SubmitResult(SubmitOutcome.OVERLOADED, reason, overload.retry_after_s)
 
-    async def _refuse_unless_known(
-        self, submission: Submission, refusal: SubmitResult
+    async def _reject_unless_stored(
+        self, submission: Submission, rejection: SubmitResult
     ) -> SubmitResult:
-        """Refuse a job, unless it was accepted before."""
+        """Return a rejection unless the job has been accepted before."""
         try:
-            known = await self._read_submission(
+            stored = await self._read_submission(
                 submission.policy.service, submission.job_id
             )
         except PlatformUnavailableError as error:
             return SubmitResult(SubmitOutcome.UNKNOWN, str(error))
-        return refusal if known is None else _compare(known, submission)
+        return rejection if stored is None else _compare(stored, submission)
 
     async def _store(self, submission: Submission) -> SubmitResult:
         row = tables.get_job_row(submission.policy.service, submission.job_id)
         batch = Batch({row: ABSENT}, {row: encode_submission(submission)})
-        outcome = await self._settle(batch)
+        outcome = await self._write_until_certain(batch)
         if isinstance(outcome, Applied):
             self.on_stored(submission.policy.service, row.key)
             return SubmitResult(SubmitOutcome.ACCEPTED)
@@ -221,33 +231,40 @@
         if isinstance(outcome, Conflict):
             present = outcome.find(row)
             try:
-                known = decode_submission(present.value) if present else None
+                stored = decode_submission(present.value) if present else None
             except DocumentError as error:
-                _LOG.warning("stored job unreadable", row=row.key, reason=str(error))
-                known = None
-            if known is not None:
-                return _compare(known, submission)
-        return SubmitResult(SubmitOutcome.UNKNOWN, "the write was not confirmed")
+                _LOG.warning(
+                    "stored submission could not be decoded",
+                    row=row.key,
+                    reason=str(error),
+                )
+                stored = None
+            if stored is not None:
+                return _compare(stored, submission)
+        return SubmitResult(
+            SubmitOutcome.UNKNOWN, "the store did not confirm the write"
+        )
 
-    async def _settle(self, batch: Batch) -> WriteOutcome:
-        """Repeat a conditional insert until its outcome is certain, or time is up.
+    async def _write_until_certain(self, batch: Batch) -> WriteOutcome:
+        """Retry a conditional insert until its outcome is certain or time is up.
 
-        A refusal counts only while no earlier try may still be applied.
+        After an attempt with unknown outcome, a later ``NotApplied`` is not certain:
+        the earlier attempt may still be applied.
         """
-        give_up = self.clocks.read_monotonic() + SETTLE_S
-        uncertain: WriteOutcome | None = None
+        deadline = self.clocks.read_monotonic() + WRITE_RETRY_LIMIT_S
+        unknown: WriteOutcome | None = None
         while True:
             outcome = await self.store.write(batch)
             if isinstance(outcome, Applied | Conflict):
                 return outcome
             if isinstance(outcome, NotApplied):
-                if uncertain is None:
+                if unknown is None:
                     return outcome
             else:
-                uncertain = outcome
-            if self.clocks.read_monotonic() >= give_up or self.may_pass():
-                return uncertain
-            await anyio.sleep(SETTLE_PAUSE_S)
+                unknown = outcome
+            if self.clocks.read_monotonic() >= deadline or self.should_forward():
+                return unknown
+            await anyio.sleep(WRITE_RETRY_PAUSE_S)
 
     async def _read_submission(self, shard: str, job_id: str) -> Submission | None:
         row = tables.get_job_row(shard, job_id)
@@ -255,7 +272,7 @@
         return decode_submission(page.rows[0].value) if page.rows else None
 
     def _list_shards(self, route: Route) -> list[str]:
-        """List shards that may hold a job, the likeliest first."""
+        """List the shards that may have a job, the most likely first."""
         policy = route.policy
         configuration = self.routes.configuration
         others = configuration.list_shards() if configuration else ()
@@ -265,15 +282,17 @@
     async def get_state(
         self, route: Route, job_id: str, caller: Caller = ANYONE
     ) -> JobState | None | Unavailable | Denied:
-        """Give the state of a job, ``None`` where there is no such job."""
+        """Return the state of a job, ``None`` if there is no such job."""
         started = self.clocks.read_monotonic()
-        state = self._show(await self._get_status(route, job_id), route, job_id, caller)
+        state = self._authorize(
+            await self._get_status(route, job_id), route, job_id, caller
+        )
         took_s = self.clocks.read_monotonic() - started
         outcome = state.name.lower() if state is not None else "unknown-job"
         self.on_answer("state", outcome, took_s)
         if state is None or isinstance(state, Unavailable):
             _LOG.info(
-                "state not given",
+                "no job state returned",
                 job=job_id,
                 queue=route.policy.queue,
                 outcome=outcome,
@@ -282,7 +301,7 @@
             )
         return state
 
-    def _show(
+    def _authorize(
         self,
         status: JobStatus | None | Unavailable,
         route: Route,
@@ -297,14 +316,14 @@
 
     def _deny(self, route: Route, job_id: str) -> Denied:
         denied = Denied.OTHER_TENANT
-        self.authentication.note_refusal(denied.value, route, job_id)
+        self.authentication.record_rejection(denied.value, route, job_id)
         return denied
 
     async def _get_status(
         self, route: Route, job_id: str
     ) -> JobStatus | None | Unavailable:
-        if job_id in self._final:
-            return self._final[job_id]
+        if job_id in self._final_statuses:
+            return self._final_statuses[job_id]
         owner = self.owners.get(route.policy.service)
         if owner is not None and owner.loaded:
             status = owner.state.get_status(job_id)
@@ -327,26 +346,26 @@
         if page.rows:
             status = decode_status(page.rows[0].value)
             if status.state.final:
-                self._remember(job_id, status)
+                self._cache(job_id, status)
             return status
         submission = await self._read_submission(shard, job_id)
         if submission is not None:
             return JobStatus(JobState.QUEUED, submission.tenant)
         return None
 
-    def _remember(self, job_id: str, status: JobStatus) -> None:
-        self._final[job_id] = status
-        if len(self._final) > MAX_REMEMBERED:
-            del self._final[next(iter(self._final))]
+    def _cache(self, job_id: str, status: JobStatus) -> None:
+        self._final_statuses[job_id] = status
+        if len(self._final_statuses) > MAX_CACHED_STATUSES:
+            del self._final_statuses[next(iter(self._final_statuses))]
 
     async def cancel(
         self, route: Route, job_id: str, caller: Caller = ANYONE
     ) -> bool | Unavailable | Denied:
-        """Cancel a job; false where there is no such job."""
+        """Cancel a job; return false if there is no such job."""
         started = self.clocks.read_monotonic()
-        known = await self._cancel(route, job_id, caller)
+        result = await self._cancel(route, job_id, caller)
         took_s = self.clocks.read_monotonic() - started
-        outcome = str(known) if isinstance(known, bool) else known.value
+        outcome = str(result) if isinstance(result, bool) else result.value
         self.on_answer("cancel", outcome, took_s)
         _LOG.info(
             "cancel answered",
@@ -355,7 +374,7 @@
             outcome=outcome,
             took_s=round(took_s, 4),
         )
-        return known
+        return result
 
     async def _cancel(
         self, route: Route, job_id: str, caller: Caller
@@ -376,14 +395,14 @@
 
     async def _store_cancel(self, shard: str, job_id: str) -> bool | Unavailable:
         row = tables.get_cancel_row(shard, job_id)
-        outcome = await self._settle(Batch({row: ABSENT}, {row: b"1"}))
+        outcome = await self._write_until_certain(Batch({row: ABSENT}, {row: b"1"}))
         if isinstance(outcome, Applied | Conflict):
             self.on_stored(shard, row.key)
             return True
         return Unavailable.STORE
 
     def count_waiting(self, route: Route) -> int | Unavailable:
-        """Count the jobs of a queue of which nothing has started."""
+        """Return the number of jobs of a queue that have not started."""
         waiting = self._find_waiting_count(route.policy)
         self.on_answer("count", waiting.source.value, 0.0)
         _LOG.info(
@@ -432,11 +451,11 @@
         )
 
 
-def _compare(known: Submission, submission: Submission) -> SubmitResult:
-    if not Caller(submission.tenant).may_use(known.tenant):
+def _compare(stored: Submission, submission: Submission) -> SubmitResult:
+    if not Caller(submission.tenant).may_use(stored.tenant):
         return SubmitResult(SubmitOutcome.OTHER_TENANT, Denied.OTHER_TENANT.value)
-    if is_same_request(known, submission):
+    if is_same_request(stored, submission):
         return SubmitResult(SubmitOutcome.ACCEPTED, "known")
     return SubmitResult(
-        SubmitOutcome.OTHER_REQUEST, "the id stands for another request"
+        SubmitOutcome.OTHER_REQUEST, "the job id is used by another request"
     )
--- a/src/onyxgap/daemons/node_view.py
+++ b/src/onyxgap/daemons/node_view.py
@@ -1,4 +1,4 @@
-"""What a node knows from the rows of the operator, and its parts."""
+"""Base class of a node: builds its components and applies the operator's rows."""
 
 import random
 import typing as t
@@ -49,16 +49,17 @@
 
 @attrs.frozen
 class Decoders:
-    """How the rows of the operator and of the workers are found and read.
+    """Tables, keys and formats of the rows of the operator and of workers.
 
     :param worker_table: table of the workers' registrations.
-    :param operator_table: table of the operator.
-    :param configuration_key: row of the configuration.
-    :param wave_prefix: start of the keys of maintenance waves.
-    :param decode_worker: reads a registration from its key and value.
-    :param decode_configuration: reads the configuration.
-    :param decode_wave: reads a maintenance wave from its key and value.
-    :param encode_wave_status: gives the row that tells how far a wave is.
+    :param operator_table: table of the operator's rows.
+    :param configuration_key: key of the configuration's row.
+    :param wave_prefix: prefix of the keys of maintenance waves.
+    :param decode_worker: decodes a registration from its key and value.
+    :param decode_configuration: decodes the configuration.
+    :param decode_wave: decodes a maintenance wave from its key and value.
+    :param encode_wave_status: builds the row with the status of a maintenance wave from
+        the wave's number and whether the wave is complete.
     """
 
     worker_table: str
@@ -73,22 +74,35 @@
 
 @attrs.define(eq=False)
 class NodeView:
-    """A node's parts, and what it reads of the operator.
+    """Components of a node, and its state as read from the operator's rows.
 
-    :param settings: its settings.
-    :param store: the store, watched.
+    :param settings: the node's settings.
+    :param store: the store; its answers and failures are recorded in ``health``.
     :param health: whether the store answers.
-    :param workers: calls to workers.
-    :param cloud: calls about VMs, ``None`` where there are none.
-    :param decoders: how foreign rows are read.
+    :param workers: client for calls to workers.
+    :param cloud: client for calls about VMs, ``None`` if there is no such interface.
+    :param decoders: tables and formats of the rows of the operator and of workers.
     :param clocks: the process's clocks.
-    :param rng: spreads retries.
-    :param adviser: the policy service, ``None`` where there is none.
-    :param peers: other nodes.
-    :param calls: carries calls that nodes pass on to each other.
-    :param build_sizer: builds what chooses the sizes of pools.
-    :param memory_mb: memory of the VM in MB, 0 where it is not known.
-    :param boot: unique id of the process.
+    :param rng: adds jitter to retries and chooses peers.
+    :param adviser: client of the policy service, ``None`` if there is none.
+    :param peers: sends notices to other nodes and receives theirs.
+    :param calls: transport of calls that nodes forward to each other.
+    :param build_sizer: builds the policy that chooses the sizes of pools.
+    :param memory_mb: memory of the VM in MB, 0 if it is not known.
+    :param boot: unique ID of the process.
+    :param routes: the configuration in force.
+    :param views: newest owner row of each shard, as seen by this node.
+    :param owners: owned shards by name.
+    :param waves: maintenance waves by number.
+    :param members: all registered nodes by name.
+    :param holder: the fleet controller while this node has that role.
+    :param shards_failed: number of shards lost to unexpected errors.
+    :param skipped: number of rows that could not be decoded, by table.
+    :param passing: job API that forwards calls, ``None`` if calls are not forwarded.
+    :param exchange: knows whether the configuration is current.
+    :param desk: job API served by this node alone.
+    :param front: job API that callers use: ``passing`` if set, else ``desk``.
+    :param lag: lag of the event loop.
     """
 
     settings: NodeSettings
@@ -153,7 +167,7 @@
                 self.desk, self.health, self.clocks, helpers, self.calls
             )
             self.front = self.passing
-            self.desk.gate = Gate()
+            self.desk.admission = Gate()
             self.desk.count_nodes = lambda: len(self.members)
 
     def _follow_operator(self) -> Follower:
@@ -161,7 +175,7 @@
             self.store,
             self.decoders.operator_table,
             lambda: [""],
-            self._take_operator,
+            self._apply_operator_rows,
             self.rng,
             on_current=lambda at: self.routes.confirm(0, at),
             read_boot=self.clocks.read_boot,
@@ -170,14 +184,14 @@
     async def _read_configuration(self) -> None:
         table, key = self.decoders.operator_table, self.decoders.configuration_key
         page = await self.store.read(table, "", key)
-        self._take_operator(page.rows, False)
+        self._apply_operator_rows(page.rows, False)
 
-    def _take_operator(self, rows: t.Sequence[StoredRow], whole: bool) -> None:
+    def _apply_operator_rows(self, rows: t.Sequence[StoredRow], whole: bool) -> None:
         for row, value in decode_rows(
-            rows, self._decode_operator_row, self.skipped, "operator's row skipped"
+            rows, self._decode_operator_row, self.skipped, "operator row skipped"
         ):
             if isinstance(value, Configuration):
-                self._adopt(row, value)
+                self._apply_configuration(row, value)
             elif value is not None:
                 self.waves[value.number] = value
 
@@ -189,7 +203,9 @@
             return self.decoders.decode_wave(key, row.value)
         return None
 
-    def _adopt(self, row: StoredRow, configuration: Configuration) -> None:
+    def _apply_configuration(
+        self, row: StoredRow, configuration: Configuration
+    ) -> None:
         if self.routes.adopt(configuration):
             _LOG.info(
                 "configuration in force",
--- a/src/onyxgap/daemons/passing_desk.py
+++ b/src/onyxgap/daemons/passing_desk.py
@@ -1,4 +1,4 @@
-"""Answers callers, through other nodes where this one cannot reach the store."""
+"""Job API of a node that forwards calls while the node cannot reach the store."""
 
 import typing as t
 
@@ -31,85 +31,89 @@
 from ..jobs.tenants import KeyFault
 from .desk import NodeDesk
 
-PATIENCE_S = 2.7
-"""Time for a call with all its tries; callers wait for 3 s."""
-PASS_TIMEOUT_S = 1.2
-"""Time for one try: what the other node's write may take in a slow store."""
-GONE = "gone"
-"""Outcome of a question for a job that nobody knows."""
+CALL_TIMEOUT_S = 2.7
+"""Timeout of a call including all attempts; callers time out after 3 s."""
+FORWARD_TIMEOUT_S = 1.2
+"""Timeout of one attempt: how long the other node's write may take in a slow store."""
+NOT_FOUND = "gone"
+"""Outcome of a forwarded call about a job that does not exist."""
 DENIED = "denied"
-"""Outcome of a call about another tenant's job."""
+"""Outcome of a forwarded call about another tenant's job."""
 
 _LOG = structlog.get_logger()
 
 
 @attrs.define
 class PassingDesk:
-    """Answers callers of one node; see :mod:`onyxgap.jobs.passing`.
+    """Answers API calls and forwards those that need the store while it fails.
 
-    :param desk: answers them from the store.
+    See :mod:`onyxgap.jobs.passing`.
+
+    :param local: answers calls from this node's store and shards.
     :param health: whether the store answers.
     :param clocks: the process's clocks.
-    :param helpers: chooses other nodes.
-    :param link: carries calls to them.
+    :param helpers: chooses the nodes to which calls are forwarded.
+    :param link: sends calls to other nodes.
     """
 
-    desk: NodeDesk
+    local: NodeDesk
     health: StoreHealth
     clocks: Clocks
     helpers: Helpers
     link: CallLink
 
     def __attrs_post_init__(self) -> None:
-        self.desk.may_pass = self.may_pass
+        self.local.should_forward = self.should_forward
 
     def _now(self) -> float:
         return self.clocks.read_monotonic()
 
-    def may_pass(self) -> bool:
-        """Tell whether another node is likelier to answer than the store is to."""
+    def should_forward(self) -> bool:
+        """Return whether another node is more likely to answer than the store."""
         now = self._now()
         return self.health.is_suspect(now) and bool(self.helpers.choose(now))
 
-    def _is_store_away(self) -> bool:
+    def _is_store_unreachable(self) -> bool:
+        """Return whether calls to the store fail here and on the other nodes."""
         now = self._now()
         return self.health.is_suspect(now) and self.helpers.is_hopeless(now)
 
     async def find_route(self, host: str, path: str) -> Route | None | Unavailable:
-        """Find the queue that a request is for."""
-        return await self.desk.find_route(host, path)
+        """Find the route of a request, ``None`` if there is none."""
+        return await self.local.find_route(host, path)
 
     async def identify(
         self, route: Route, keys: t.Sequence[bytes], job_id: str
     ) -> Caller | KeyFault | Unavailable:
-        """Find out who calls."""
-        return await self.desk.identify(route, keys, job_id)
+        """Identify the caller of a queue."""
+        return await self.local.identify(route, keys, job_id)
 
     def get_max_body_bytes(self) -> int:
-        """Give the longest body that is read."""
-        return self.desk.get_max_body_bytes()
+        """Return the maximum size of a request body."""
+        return self.local.get_max_body_bytes()
 
     def count_waiting(self, route: Route) -> int | Unavailable:
-        """Count the jobs of a queue of which nothing has started."""
-        return self.desk.count_waiting(route)
+        """Return the number of jobs of a queue that have not started."""
+        return self.local.count_waiting(route)
 
     def is_ready(self) -> bool:
-        """Tell whether new connections should come here."""
-        return self.desk.is_ready()
+        """Return whether the node should get new connections."""
+        return self.local.is_ready()
 
     async def submit(self, submission: Submission) -> SubmitResult:
-        """Accept a job, or say why not."""
-        give_up = self._now() + PATIENCE_S
+        """Accept a job or return why it was not accepted."""
+        deadline = self._now() + CALL_TIMEOUT_S
         result = SubmitResult(SubmitOutcome.REFUSED, Unavailable.STORE.value)
-        if self._is_store_away():
-            # a write now would most likely end as uncertain, which helps nobody
+        if self._is_store_unreachable():
+            # the outcome of a write would most likely be unknown, so the caller gets a
+            # rejection with a definite outcome instead
             return result
-        if not self.may_pass():
-            result = await self.desk.submit(submission)
+        if not self.should_forward():
+            result = await self.local.submit(submission)
             if result.outcome not in (SubmitOutcome.REFUSED, SubmitOutcome.UNKNOWN):
                 return result
-        if not self.desk.is_configuration_current():
-            # the queue may be gone by now, and the other node would not know
+        if not self.local.is_configuration_current():
+            # the queue may have been removed, and the other node does not check that
             return result
         call = PassedCall(
             CallKind.SUBMIT,
@@ -119,23 +123,29 @@
             submission.policy.service,
             encode_submission(submission),
         )
-        async for answer in self._pass(call, give_up):
-            result = _join(result, answer)
+        async for answer in self._forward(call, deadline):
+            result = _merge_result(result, answer)
             if result.outcome not in (SubmitOutcome.REFUSED, SubmitOutcome.UNKNOWN):
                 return result
         return result
 
-    async def _pass(
-        self, call: PassedCall, give_up: float
+    async def _forward(
+        self, call: PassedCall, deadline: float
     ) -> t.AsyncIterator[PassedAnswer | None]:
-        """Ask one node after the other; ``None`` for a call that may have been done."""
+        """Forward a call to one node after the other until the deadline.
+
+        Yields an answer, or ``None`` where the call failed but may have been executed.
+        Nodes that did not execute the call are skipped.
+        """
         for address in self.helpers.choose(self._now()):
-            left_s = give_up - self._now()
-            if left_s <= 0:
+            remaining_s = deadline - self._now()
+            if remaining_s <= 0:
                 return
             started = self._now()
-            answer = await self.link.ask(address, call, min(PASS_TIMEOUT_S, left_s))
-            self._log(call, address, answer, self._now() - started)
+            answer = await self.link.ask(
+                address, call, min(FORWARD_TIMEOUT_S, remaining_s)
+            )
+            self._log_forwarded(call, address, answer, self._now() - started)
             if answer is PassFailure.NOT_SENT or _is_unable(answer):
                 self.helpers.note_unable(address, self._now())
                 continue
@@ -146,7 +156,7 @@
             self.helpers.note_able(address)
             yield answer
 
-    def _log(
+    def _log_forwarded(
         self,
         call: PassedCall,
         address: str,
@@ -155,7 +165,7 @@
     ) -> None:
         failed = isinstance(answer, PassFailure)
         outcome = answer.value if isinstance(answer, PassFailure) else answer.outcome
-        self.desk.on_answer("passed-on", outcome, took_s)
+        self.local.on_answer("passed-on", outcome, took_s)
         _LOG.info(
             "call passed on",
             job=call.job_id,
@@ -170,50 +180,50 @@
     async def get_state(
         self, route: Route, job_id: str, caller: Caller = ANYONE
     ) -> JobState | None | Unavailable | Denied:
-        """Give the state of a job, ``None`` where there is no such job."""
-        give_up = self._now() + PATIENCE_S
-        state = await self.desk.get_state(route, job_id, caller)
+        """Return the state of a job, ``None`` if there is no such job."""
+        deadline = self._now() + CALL_TIMEOUT_S
+        state = await self.local.get_state(route, job_id, caller)
         if state is not Unavailable.STORE:
             return state
         call = _build_call(CallKind.STATE, route, job_id, caller)
-        answer = await self._ask_others(call, give_up)
+        answer = await self._forward_idempotent(call, deadline)
         if answer is None:
             return state
         if answer.outcome == DENIED:
             return Denied.OTHER_TENANT
-        return None if answer.outcome == GONE else JobState(answer.outcome)
+        return None if answer.outcome == NOT_FOUND else JobState(answer.outcome)
 
     async def cancel(
         self, route: Route, job_id: str, caller: Caller = ANYONE
     ) -> bool | Unavailable | Denied:
-        """Cancel a job; false where there is no such job."""
-        give_up = self._now() + PATIENCE_S
-        known = await self.desk.cancel(route, job_id, caller)
-        if known is not Unavailable.STORE:
-            return known
+        """Cancel a job; return false if there is no such job."""
+        deadline = self._now() + CALL_TIMEOUT_S
+        result = await self.local.cancel(route, job_id, caller)
+        if result is not Unavailable.STORE:
+            return result
         call = _build_call(CallKind.CANCEL, route, job_id, caller)
-        answer = await self._ask_others(call, give_up)
+        answer = await self._forward_idempotent(call, deadline)
         if answer is None:
-            return known
+            return result
         if answer.outcome == DENIED:
             return Denied.OTHER_TENANT
-        return answer.outcome != GONE
+        return answer.outcome != NOT_FOUND
 
-    async def _ask_others(
-        self, call: PassedCall, give_up: float
+    async def _forward_idempotent(
+        self, call: PassedCall, deadline: float
     ) -> PassedAnswer | None:
-        """Pass on a call that may be done twice; ``None`` where nobody answers."""
-        async for answer in self._pass(call, give_up):
+        """Forward a call that may be executed twice; ``None`` if no node answers."""
+        async for answer in self._forward(call, deadline):
             if answer is not None:
                 return answer
         return None
 
     async def answer(self, call: PassedCall) -> PassedAnswer:
-        """Answer a call that another node passed on, from the store alone.
+        """Answer a call that another node forwarded, without forwarding it again.
 
-        :param call: the call.
+        :param call: the forwarded call.
         """
-        if self.health.is_suspect(self._now()) or self.desk.stopping:
+        if self.health.is_suspect(self._now()) or self.local.stopping:
             return PassedAnswer(UNABLE, Unavailable.STORE.value)
         if call.kind is CallKind.SUBMIT:
             return await self._answer_submission(call)
@@ -221,15 +231,15 @@
         route = Route("", "", policy)
         caller = Caller(call.tenant)
         if call.kind is CallKind.STATE:
-            return _describe(await self.desk.get_state(route, call.job_id, caller))
-        return _describe(await self.desk.cancel(route, call.job_id, caller))
+            return _build_answer(await self.local.get_state(route, call.job_id, caller))
+        return _build_answer(await self.local.cancel(route, call.job_id, caller))
 
     async def _answer_submission(self, call: PassedCall) -> PassedAnswer:
         try:
             submission = decode_submission(call.submission)
         except DocumentError as error:
             return PassedAnswer(UNABLE, str(error))
-        result = await self.desk.submit(submission)
+        result = await self.local.submit(submission)
         return PassedAnswer(result.outcome.value, result.reason, result.retry_after_s)
 
 
@@ -237,10 +247,10 @@
     return isinstance(answer, PassedAnswer) and answer.outcome == UNABLE
 
 
-def _join(result: SubmitResult, answer: PassedAnswer | None) -> SubmitResult:
-    """Join the result so far with the answer of another node."""
+def _merge_result(result: SubmitResult, answer: PassedAnswer | None) -> SubmitResult:
+    """Merge the result so far with the answer of another node."""
     if answer is None:
-        reason = "another node gave no answer"
+        reason = "another node did not answer"
         return SubmitResult(SubmitOutcome.UNKNOWN, reason)
     outcome = join_outcomes(result.outcome, SubmitOutcome(answer.outcome))
     return SubmitResult(outcome, answer.reason, answer.retry_after_s)
@@ -253,15 +263,15 @@
     return PassedCall(kind, job_id, caller.tenant, policy.queue, policy.service)
 
 
-_Found = JobState | bool | None | Unavailable | Denied
+_JobResult = JobState | bool | None | Unavailable | Denied
 
 
-def _describe(found: _Found) -> PassedAnswer:
-    """Describe what was found of a job as an answer."""
-    if isinstance(found, Unavailable):
-        return PassedAnswer(UNABLE, found.value)
-    if isinstance(found, Denied):
-        return PassedAnswer(DENIED, found.value)
-    if isinstance(found, JobState):
-        return PassedAnswer(found.value)
-    return PassedAnswer("known" if found else GONE)
+def _build_answer(result: _JobResult) -> PassedAnswer:
+    """Build the answer to a forwarded call from its result."""
+    if isinstance(result, Unavailable):
+        return PassedAnswer(UNABLE, result.value)
+    if isinstance(result, Denied):
+        return PassedAnswer(DENIED, result.value)
+    if isinstance(result, JobState):
+        return PassedAnswer(result.value)
+    return PassedAnswer("known" if result else NOT_FOUND)
