--- a/tests/test_malformed_rows.py
+++ b/tests/test_malformed_rows.py
@@ -1,4 +1,4 @@
-"""Malformed worker registrations are skipped and do not end the shard."""
+"""Guards against malformed worker registrations that end the shard reading them."""
 
 import orjson
 import pytest
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("number", range(len(MALFORMED)))
-def test_malformed_registration_names_no_worker(number: int) -> None:
+def test_malformed_registration_is_not_decoded(number: int) -> None:
     with pytest.raises(DocumentError):
         decode_worker("w", MALFORMED[number])
 
--- a/tests/test_tenant_days.py
+++ b/tests/test_tenant_days.py
@@ -1,4 +1,9 @@
-"""Days with tenants, keys taken back, caps that bind, and each safeguard left out."""
+"""Emulated runs with tenants: isolation under faults, and tests of the safeguards.
+
+Guards against calls served by revoked or unknown keys and against starts above a
+tenant's cap. Each safeguard is also removed in turn, and then some seed must break the
+rule that the safeguard protects.
+"""
 
 import math
 import typing as t
@@ -19,10 +24,10 @@
 from tests.emulated import load_day
 from tests.emulated import play
 
-CALM_SEEDS = range(1, 7)
+FAULT_FREE_SEEDS = range(1, 7)
 FAULTY_SEEDS = range(1, 16)
 
-SCRIPTED = {
+FAULT_SCRIPTS = {
     "turned away as keys are taken back": (
         "at 4 refuse node for 9 by 0.5\nat 5 revoke keys for 4 by 1"
     ),
@@ -47,25 +52,25 @@
 }
 
 
-@pytest.mark.parametrize("seed", CALM_SEEDS)
-def test_tenants_are_kept_apart_on_a_day_without_faults(seed: int) -> None:
+@pytest.mark.parametrize("seed", FAULT_FREE_SEEDS)
+def test_tenants_are_isolated_without_faults(seed: int) -> None:
     result = play(load_day("tenants"), seed)
     assert result.breaches == []
     assert result.account.in_time
 
 
 @pytest.mark.parametrize("seed", FAULTY_SEEDS)
-def test_tenants_are_kept_apart_under_random_faults(seed: int) -> None:
+def test_tenants_are_isolated_under_random_faults(seed: int) -> None:
     assert play(load_day("tenants"), seed, faults=3).breaches == []
 
 
-@pytest.mark.parametrize("name", SCRIPTED)
-def test_tenants_are_kept_apart_under_a_fault(name: str) -> None:
+@pytest.mark.parametrize("name", FAULT_SCRIPTS)
+def test_tenants_are_isolated_under_scripted_faults(name: str) -> None:
     for seed in (1, 2):
-        assert play(extend_day("tenants", SCRIPTED[name]), seed).breaches == []
+        assert play(extend_day("tenants", FAULT_SCRIPTS[name]), seed).breaches == []
 
 
-def serve_unknown_keys(patch: pytest.MonkeyPatch) -> None:
+def accept_unknown_keys(patch: pytest.MonkeyPatch) -> None:
     async def identify_any(
         self: Authentication, route: Route, keys: t.Sequence[bytes], job_id: str
     ) -> Caller | KeyFault:
@@ -75,57 +80,57 @@
     patch.setattr(Authentication, "identify", identify_any)
 
 
-def leave_out_age(patch: pytest.MonkeyPatch) -> None:
-    async def ask_nobody(self: ConfigurationExchange) -> None:
+def assume_configuration_current(patch: pytest.MonkeyPatch) -> None:
+    async def send_no_queries(self: ConfigurationExchange) -> None:
         await anyio.sleep(math.inf)
 
     patch.setattr(ConfigurationExchange, "is_current", lambda self: True)
-    patch.setattr(ConfigurationExchange, "run", ask_nobody)
+    patch.setattr(ConfigurationExchange, "run", send_no_queries)
 
 
-def refuse_without_reading(patch: pytest.MonkeyPatch) -> None:
-    async def be_sure(self: ConfigurationExchange) -> bool:
+def reject_without_reading(patch: pytest.MonkeyPatch) -> None:
+    async def skip_read(self: ConfigurationExchange) -> bool:
         return True
 
-    patch.setattr(ConfigurationExchange, "make_sure", be_sure)
+    patch.setattr(ConfigurationExchange, "make_sure", skip_read)
 
 
-def leave_out_caps(patch: pytest.MonkeyPatch) -> None:
+def ignore_shares(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(TenantShare, "admits", lambda self, amount: True)
 
 
-def use_inherited_shares(patch: pytest.MonkeyPatch) -> None:
+def use_unchecked_shares(patch: pytest.MonkeyPatch) -> None:
     def find_limit(self: TenantShare) -> Amount:
         return self.get_own().share
 
     patch.setattr(TenantShare, "_find_limit", find_limit)
 
 
-MUTATIONS = {
-    "unknown keys are refused": (serve_unknown_keys, "", "route"),
+REMOVED_SAFEGUARDS = {
+    "unknown keys are refused": (accept_unknown_keys, "", "route"),
     "the version in force is known": (
-        leave_out_age,
+        assume_configuration_current,
         "at 4 refuse node for 9 by 0.5\nat 5 revoke keys for 6 by 1",
         "config",
     ),
     "the row is read before a refusal": (
-        refuse_without_reading,
+        reject_without_reading,
         "at 4.5 deaf store for 6\nat 5 revoke keys for 6 by 1",
         "config",
     ),
-    "starts stay within shares": (leave_out_caps, "", "quota"),
+    "starts stay within shares": (ignore_shares, "", "quota"),
     "shares under a higher cap are void": (
-        use_inherited_shares,
+        use_unchecked_shares,
         "at 6 cap tenant north for 6 by 0.3",
         "quota",
     ),
 }
 
 
-@pytest.mark.parametrize("name", MUTATIONS)
-def test_missing_safeguard_of_tenants_is_noticed(
+@pytest.mark.parametrize("name", REMOVED_SAFEGUARDS)
+def test_removed_tenant_safeguard_is_detected(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    mutate, statements, rule = MUTATIONS[name]
+    mutate, statements, rule = REMOVED_SAFEGUARDS[name]
     script = extend_day("tenants", statements)
-    assert_noticed(script, rule, CALM_SEEDS, mutate, monkeypatch)
+    assert_noticed(script, rule, FAULT_FREE_SEEDS, mutate, monkeypatch)
