--- a/src/onyxgap/daemons/node.py
+++ b/src/onyxgap/daemons/node.py
@@ -1,4 +1,4 @@
-"""A node: answers callers and owns shards of the fleet's jobs."""
+"""Scheduler node: claims shards, runs their schedulers and releases them."""
 
 import typing as t
 
@@ -29,26 +29,33 @@
 from .rows import decode_rows
 from .vm_watch import VmWatch
 
-POLL_S = 0.7
-"""Pause between two looks at the owner rows, which are renewed as often."""
-HEARD_GAP_S = 2.0
-"""A longer gap between two answers of the store says nothing of an owner."""
-CLAIM_LOOK_S = 0.1
-"""Pause between two looks for shards that may be claimed."""
-CLAIM_TRIES = 2
-"""Tries of a claim without an answer, before the shard is looked at again."""
-CLAIM_PAUSE_S = 0.1
-"""Pause between two tries of a claim."""
+OWNER_POLL_S = 0.7
+"""Interval of polling the owner rows; owners renew their rows at the same interval."""
+MAX_ANSWER_GAP_S = 2.0
+"""After a longer gap between two answers of the store, owner time-outs start again: a
+renewal that was not seen during the gap proves nothing about the owner."""
+CLAIM_CHECK_S = 0.1
+"""Interval of checking for shards that this node may claim."""
+CLAIM_ATTEMPTS = 2
+"""Write attempts of a claim that is refused or gets no answer. After them, the claim is
+abandoned and the shard is checked again."""
+CLAIM_RETRY_S = 0.1
+"""Pause between two write attempts of a claim."""
 
 _LOG = structlog.get_logger()
 
 
 @attrs.define(eq=False)
 class Node(NodePeers):
-    """Everything that a node does but listening."""
+    """Node without its listeners, which the process starts.
+
+    It follows the operator's rows and the owner rows, claims shards and runs the owner
+    of each shard that it has claimed. An owner schedules the shard's jobs; the owner of
+    :data:`~onyxgap.jobs.tables.FLEET_SHARD` is the fleet controller.
+    """
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Run the node until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
             group.start_soon(self._follow_operator().run)
@@ -65,24 +72,24 @@
             self.store,
             tables.OWNER_TABLE,
             self._list_shards,
-            self._take_owners,
+            self._apply_owner_rows,
             self.rng,
             wait_s=0.0,
-            pause_s=POLL_S,
+            pause_s=OWNER_POLL_S,
         )
         assert self._group is not None
         self._group.start_soon(follower.run)
         while True:
-            await anyio.sleep(CLAIM_LOOK_S)
+            await anyio.sleep(CLAIM_CHECK_S)
             if self.routes.configuration is not None and not self._stopping:
-                self._claim_due(follower)
+                self._claim_next_shard(follower)
 
     def _list_shards(self) -> t.Sequence[str]:
         configuration = self.routes.configuration
         if configuration is None:
             return ()
-        duties = [tables.FLEET_SHARD] if self.cloud is not None else []
-        return [*configuration.list_shards(), *duties]
+        fleet_shards = [tables.FLEET_SHARD] if self.cloud is not None else []
+        return [*configuration.list_shards(), *fleet_shards]
 
     def _list_owners(self) -> list[ShardOwner]:
         return list(self.owners.values())
@@ -90,7 +97,7 @@
     def _count_owned(self) -> int:
         return len(self.owners) + (self.holder is not None)
 
-    def _take_owners(self, rows: t.Sequence[StoredRow], whole: bool) -> None:
+    def _apply_owner_rows(self, rows: t.Sequence[StoredRow], snapshot: bool) -> None:
         now = self.clocks.read_monotonic()
         for row, owner in decode_rows(
             rows,
@@ -108,13 +115,13 @@
         self.views[shard] = view.replace_row(owner, version, now)
 
     def _get_known_version(self, row: StoredRow) -> int:
-        known = self.views.get(row.row_id.part)
-        return known.version if known is not None else -1
+        view = self.views.get(row.row_id.part)
+        return view.version if view is not None else -1
 
-    def _claim_due(self, follower: Follower) -> None:
+    def _claim_next_shard(self, follower: Follower) -> None:
         now = self.clocks.read_monotonic()
-        heard_since = self._note_heard(now)
-        if heard_since is None or not follower.after:
+        reachable_since = self._update_store_reachable_since(now)
+        if reachable_since is None or not follower.after:
             return
         for shard in self._list_shards():
             self.views.setdefault(shard, OwnerView(None, 0, now))
@@ -136,7 +143,7 @@
             yields=weak and self.settings.contended,
         )
         assert self._group is not None
-        for shard in list_claimable(views, claimant, heard_since, now)[:1]:
+        for shard in list_claimable(views, claimant, reachable_since, now)[:1]:
             self._claiming.add(shard)
             view = views[shard]
             _LOG.info(
@@ -146,15 +153,17 @@
                 epoch=view.row.epoch if view.row else 0,
                 version=view.version,
                 unchanged_s=round(now - view.changed_at, 2),
-                heard_s=round(now - heard_since, 2),
+                heard_s=round(now - reachable_since, 2),
             )
             self._group.start_soon(self._claim, shard, view)
 
-    def _note_heard(self, now: float) -> float | None:
+    def _update_store_reachable_since(self, now: float) -> float | None:
         answered_at = self.health.answered_at
         if self.health.is_down(now) or not answered_at:
             self._heard_since = None
-        elif self._heard_since is None or answered_at - self._heard_at > HEARD_GAP_S:
+        elif (
+            self._heard_since is None or answered_at - self._heard_at > MAX_ANSWER_GAP_S
+        ):
             self._heard_since = now
         self._heard_at = answered_at
         return self._heard_since
@@ -165,7 +174,8 @@
         return shard in self.owners
 
     async def _claim(self, shard: str, view: OwnerView) -> None:
-        # a second claim beside this one would find its row and take it for its own
+        # While this claim is in progress, the shard stays in _claiming. A concurrent
+        # claim would write an equal row, and could mistake this claim for its own.
         try:
             await self._try_claim(shard, view)
         finally:
@@ -174,9 +184,10 @@
             self._claim_after[shard] = self.clocks.read_monotonic() + pause_s
 
     async def _try_claim(self, shard: str, view: OwnerView) -> None:
-        # the view that was judged, not one that a read has replaced since
-        earlier = view.row.epoch if view.row else 0
-        row = OwnerRow(self.settings.node, self.boot, earlier + 1)
+        # Expect the version on which the decision to claim was based. self.views may
+        # hold a newer row by now, for example the claim of another node.
+        previous_epoch = view.row.epoch if view.row else 0
+        row = OwnerRow(self.settings.node, self.boot, previous_epoch + 1)
         owner_row = tables.get_owner_row(shard)
         nonce = f"{self.boot}/{row.epoch}/0"
         batch = Batch(
@@ -186,24 +197,24 @@
                 tables.get_fence_row(shard): nonce.encode(),
             },
         )
-        for _ in range(CLAIM_TRIES):
+        for _ in range(CLAIM_ATTEMPTS):
             outcome = await self.store.write(batch)
             now = self.clocks.read_monotonic()
             version = 0
             if isinstance(outcome, Applied):
                 version = outcome.version
             elif isinstance(outcome, Conflict):
-                present = outcome.find(owner_row)
-                if present and present.value == tables.encode_owner(row):
-                    version = present.version
+                stored_row = outcome.find(owner_row)
+                if stored_row and stored_row.value == tables.encode_owner(row):
+                    version = stored_row.version
                 else:
-                    self._take_owners(outcome.rows, False)
+                    self._apply_owner_rows(outcome.rows, False)
                     return
             if version:
                 self._update_owner_view(shard, row, version, now)
                 self._start_owner(shard, row, version, nonce)
                 return
-            await anyio.sleep(CLAIM_PAUSE_S)
+            await anyio.sleep(CLAIM_RETRY_S)
 
     def _start_owner(self, shard: str, row: OwnerRow, version: int, nonce: str) -> None:
         assert self._group is not None
@@ -257,7 +268,7 @@
         except PlatformUnavailableError as error:
             _LOG.info("shard not loaded", shard=shard, reason=str(error))
         except Exception:
-            # a fault in one shard must not end the others; the shard is claimed anew
+            # An error in one shard must not stop the others; the shard is claimed anew.
             self.shards_failed += 1
             _LOG.exception("shard failed", shard=shard, epoch=epoch)
         finally:
@@ -269,7 +280,7 @@
         self.views[shard] = attrs.evolve(view, changed_at=self.clocks.read_monotonic())
 
     async def release(self) -> None:
-        """Hand every shard over; the node claims none afterwards."""
+        """Release all owned shards, and return once that is done; claim none again."""
         self._stopping = True
         self.desk.stopping = True
         owners: list[ShardOwner | FleetHolder] = list(self.owners.values())
--- a/src/onyxgap/daemons/node_peers.py
+++ b/src/onyxgap/daemons/node_peers.py
@@ -1,4 +1,4 @@
-"""What a node tells other nodes, and what it does with their notices."""
+"""Notices between nodes: registers the node, sends and handles notices."""
 
 import typing as t
 
@@ -27,22 +27,24 @@
 from .rows import decode_rows
 
 MEMBERS_WAIT_S = 10.0
-"""Members change when nodes start; one that is learned of late gets no notice."""
+"""Maximum wait of one call that follows the member table. Members change only when
+nodes start; until a change is read, the new member gets no notices."""
 MEMBER_RETRY_S = 0.5
-"""Pause between two tries to register this node."""
-HAND_OVER_S = 0.3
-"""Pause between two notices that the store cannot be reached."""
+"""Pause between two attempts to register this node as a member."""
+HAND_OVER_INTERVAL_S = 0.3
+"""Interval of checking whether to offer shards to other nodes, and of repeating the
+hand-over notices."""
 
 _LOG = structlog.get_logger()
 
 
 @attrs.define(eq=False)
 class NodePeers(NodeView):
-    """A node's notices; see :mod:`onyxgap.jobs.notices`."""
+    """Part of a node that exchanges notices; see :mod:`onyxgap.jobs.notices`."""
 
     def __attrs_post_init__(self) -> None:
         super().__attrs_post_init__()
-        self.desk.on_stored = self._tell_stored
+        self.desk.on_stored = self._notify_owner
 
     async def _run_peers(self) -> None:
         if not self.peers.get_address():
@@ -51,17 +53,17 @@
             self.store,
             tables.MEMBER_TABLE,
             lambda: [tables.MEMBER_PART],
-            self._take_members,
+            self._apply_member_rows,
             self.rng,
             wait_s=MEMBERS_WAIT_S,
         )
         async with anyio.create_task_group() as group:
-            group.start_soon(self.peers.run, self._take_notice)
+            group.start_soon(self.peers.run, self._handle_notice)
             group.start_soon(self._register)
             group.start_soon(members.run)
-            group.start_soon(self._hand_over_forever)
+            group.start_soon(self._send_hand_overs)
             if self.settings.contended:
-                group.start_soon(self._offer_forever)
+                group.start_soon(self._offer_shards)
             if self.passing is not None:
                 group.start_soon(self.calls.run, self.passing.answer)
 
@@ -75,14 +77,17 @@
             await anyio.sleep(MEMBER_RETRY_S)
             outcome = await self.store.write(Batch({}, {row: value}))
 
-    def _take_members(self, rows: t.Sequence[StoredRow], whole: bool) -> None:
+    def _apply_member_rows(self, rows: t.Sequence[StoredRow], snapshot: bool) -> None:
         for row, member in decode_rows(
-            rows, lambda row: decode_member(row.value), self.skipped, "member skipped"
+            rows,
+            lambda row: decode_member(row.value),
+            self.skipped,
+            "member row skipped",
         ):
             if member is not None:
                 self.members[row.row_id.key] = member
 
-    def _tell_stored(self, shard: str, key: str) -> None:
+    def _notify_owner(self, shard: str, key: str) -> None:
         owner = self.owners.get(shard)
         if owner is not None:
             owner.note_stored(key)
@@ -94,33 +99,38 @@
         if member is not None and member.address:
             self.peers.send(member.address, JobNotice(shard, key))
 
-    async def _hand_over_forever(self) -> None:
-        """Tell others which shards they may claim, while the store is out of reach."""
-        told = False
+    async def _send_hand_overs(self) -> None:
+        """Send hand-over notices for all owned shards while the store is down."""
+        logged = False
         while True:
-            await anyio.sleep(HAND_OVER_S)
+            await anyio.sleep(HAND_OVER_INTERVAL_S)
             if not self.health.is_down(self.clocks.read_monotonic()):
-                told = False
+                logged = False
                 continue
             owned: list[OwnedShard] = [*self.owners.values()]
             if self.holder is not None:
                 owned.append(self.holder)
-            if owned and not told:
-                _LOG.info("handing over", shards=[item.shard for item in owned])
-                told = True
+            if owned and not logged:
+                _LOG.info(
+                    "sending hand-over notices", shards=[item.shard for item in owned]
+                )
+                logged = True
             for item in owned:
-                self._tell_others(HandOver(item.shard, self.boot, item.epoch))
+                self._notify_all_nodes(HandOver(item.shard, self.boot, item.epoch))
 
-    async def _offer_forever(self) -> None:
-        """Offer shards to better nodes while this one is weak or late."""
+    async def _offer_shards(self) -> None:
+        """Offer shards to nodes on large VMs.
+
+        Does so while this node's VM is small or its event loop lags.
+        """
         relief = Relief()
         while True:
-            await anyio.sleep(HAND_OVER_S)
+            await anyio.sleep(HAND_OVER_INTERVAL_S)
             now = self.clocks.read_monotonic()
             relief.weak = is_weak(self.memory_mb, self.members.values())
             relief.observe_lag(self.lag.seconds, now)
             if relief.weak:
-                self._offer_former()
+                self._offer_previous_shards()
             for owner in list(self.owners.values()):
                 if owner.loaded_at is None or self._stopping:
                     continue
@@ -133,39 +143,41 @@
                         weak=relief.weak,
                         lag_s=round(self.lag.seconds, 3),
                     )
-                    self._offer(HandOver(owner.shard, self.boot, owner.epoch))
+                    self._notify_large_vm_nodes(
+                        HandOver(owner.shard, self.boot, owner.epoch)
+                    )
 
-    def _offer_former(self) -> None:
-        """Offer what an earlier process of this node owned, which is gone."""
+    def _offer_previous_shards(self) -> None:
+        """Offer the shards of a previous process of this node, which no longer runs."""
         for shard, view in self.views.items():
             row = view.row
             if shard == tables.FLEET_SHARD or row is None or row.released:
                 continue
             if row.node == self.settings.node and row.boot != self.boot:
-                self._offer(HandOver(shard, row.boot, row.epoch))
+                self._notify_large_vm_nodes(HandOver(shard, row.boot, row.epoch))
 
-    def _offer(self, notice: HandOver) -> None:
+    def _notify_large_vm_nodes(self, notice: HandOver) -> None:
         for node in list_stronger(self.settings.node, self.members):
             self.peers.send(self.members[node].address, notice)
 
-    def _tell_others(self, notice: Notice) -> None:
+    def _notify_all_nodes(self, notice: Notice) -> None:
         for node, member in self.members.items():
             if node != self.settings.node:
                 self.peers.send(member.address, notice)
 
-    def _take_notice(self, notice: Notice) -> None:
+    def _handle_notice(self, notice: Notice) -> None:
         if isinstance(notice, JobNotice):
             owner = self.owners.get(notice.shard)
             if owner is not None:
                 owner.note_stored(notice.key)
         elif isinstance(notice, HandOver):
-            self._take_hand_over(notice)
+            self._handle_hand_over(notice)
         elif isinstance(notice, ConfigurationQuestion):
             self.exchange.answer(notice)
         elif isinstance(notice, ConfigurationPart):
             self.exchange.take(notice)
 
-    def _take_hand_over(self, notice: HandOver) -> None:
+    def _handle_hand_over(self, notice: HandOver) -> None:
         view = self.views.get(notice.shard)
         row = view.row if view is not None else None
         if view is None or row is None:
@@ -174,7 +186,7 @@
             return
         if view.handed_over_at is None:
             _LOG.info(
-                "owner hands over",
+                "hand-over notice received",
                 shard=notice.shard,
                 owner=row.node,
                 epoch=row.epoch,
