--- a/src/onyxgap/daemons/node_process.py
+++ b/src/onyxgap/daemons/node_process.py
@@ -1,4 +1,4 @@
-"""The process of a node on the users' platform: listeners, signals and logs."""
+"""Process of a node on the users' platform: listeners, signals, metrics, shutdown."""
 
 import os
 import random
@@ -34,14 +34,17 @@
 from .node import Node
 from .node_view import Decoders
 
-LINGER_S = 2.5
-"""The balancer needs two failed probes, a second apart, to send no more callers."""
-STORE_CONNECTIONS = 48
-"""Far below the descriptors that a VM has left for sockets."""
-RELEASE_LIMIT_S = 1.5
-"""Longest time to hand shards over; a silent store must not use up the grace of 6 s."""
-CLOSE_LIMIT_S = 1.0
-"""Time for answers under way once the listener is closed."""
+BALANCER_DRAIN_S = 2.5
+"""Time from the release of the shards to the closing of the callers' listener. The load
+balancer needs two failed probes, one second apart, to stop sending callers."""
+MAX_STORE_CONNECTIONS = 48
+"""Maximum number of connections to the store; far below the number of file descriptors
+that a VM has left for sockets."""
+RELEASE_TIMEOUT_S = 1.5
+"""Maximum time for releasing the shards. A store that does not answer must not use up
+the grace period of 6 s."""
+CLOSE_TIMEOUT_S = 1.0
+"""Time for requests in flight after their listener is closed."""
 
 _LOG = structlog.get_logger()
 
@@ -72,19 +75,19 @@
     return StreamCallLink(Address(settings.front.host, first + 1))
 
 
-def _measure_memory_mb() -> int:
-    pages, size = os.sysconf("SC_PHYS_PAGES"), os.sysconf("SC_PAGE_SIZE")
-    return pages * size // 2**20
+def _read_memory_mb() -> int:
+    pages, page_size = os.sysconf("SC_PHYS_PAGES"), os.sysconf("SC_PAGE_SIZE")
+    return pages * page_size // 2**20
 
 
 def build_node(settings: NodeSettings) -> Node:
     """Build a node that talks to the users' platform.
 
-    :param settings: its settings.
+    :param settings: settings of the node.
     """
     clocks = SystemClocks()
     health = StoreHealth()
-    store = PlatformStore(HttpClient(settings.store, STORE_CONNECTIONS))
+    store = PlatformStore(HttpClient(settings.store, MAX_STORE_CONNECTIONS))
     adviser = None
     if settings.advice != "-":
         adviser = PlatformAdvice(HttpClient(settings.advice))
@@ -100,15 +103,15 @@
         adviser=adviser,
         peers=_build_peers(settings),
         calls=_build_call_link(settings),
-        memory_mb=_measure_memory_mb(),
+        memory_mb=_read_memory_mb(),
     )
 
 
 def build_metrics(node: Node, lines: BoundedLines) -> Metrics:
-    """Build the metrics of a node.
+    """Build the metrics of a node, and have its job API count answers in them.
 
-    :param node: the node; its desk counts answers from now on.
-    :param lines: writer of the log.
+    :param node: the node.
+    :param lines: log writer, whose dropped lines are counted.
     """
     metrics = Metrics(
         gauges={
@@ -139,81 +142,87 @@
         }
     )
 
-    def count(kind: str, outcome: str, took_s: float) -> None:
+    def count_answer(kind: str, outcome: str, took_s: float) -> None:
         metrics.count(outcome, kind, kind, took_s)
 
-    def count_refusal(reason: str) -> None:
+    def count_rejected_key(reason: str) -> None:
         metrics.count(reason, "key", "key", 0.0)
 
-    node.desk.on_answer = count
-    node.desk.authentication.on_refused = count_refusal
+    node.desk.on_answer = count_answer
+    node.desk.authentication.on_refused = count_rejected_key
     return metrics
 
 
 async def run_node_process(
     path: str, lines: BoundedLines, metrics_port: int = 0
 ) -> int:
-    """Run a node until it is told to stop.
+    """Run a node until SIGTERM or SIGINT.
+
+    SIGHUP checks the settings file; see :func:`check_settings_file`.
 
     :param path: path of the settings file.
-    :param lines: writer of the log.
-    :param metrics_port: port for metrics beside the one for probes, 0 for none.
-    :returns: the exit code.
+    :param lines: log writer.
+    :param metrics_port: additional port that serves probes and metrics, 0 for none.
+    :returns: exit code of the process.
     """
     settings = load_settings(path)
     node = build_node(settings)
-    render = build_metrics(node, lines).render
+    render_metrics = build_metrics(node, lines).render
     _LOG.info("start", boot=node.boot, zone=settings.zone, store=settings.store)
-    callers = CallerApp(node.front)
-    front = HttpServer(callers, settings.front, CLOSE_LIMIT_S)
-    probes = ReadyApp(node.front, render)
-    ready = HttpServer(probes, settings.ready, CLOSE_LIMIT_S)
+    caller_app = CallerApp(node.front)
+    caller_server = HttpServer(caller_app, settings.front, CLOSE_TIMEOUT_S)
+    probe_app = ReadyApp(node.front, render_metrics)
+    probe_server = HttpServer(probe_app, settings.ready, CLOSE_TIMEOUT_S)
     with anyio.open_signal_receiver(
         signal.SIGTERM, signal.SIGINT, signal.SIGHUP
     ) as signals:
         async with anyio.create_task_group() as group:
-            group.start_soon(ready.run)
-            group.start_soon(front.run)
+            group.start_soon(probe_server.run)
+            group.start_soon(caller_server.run)
             if metrics_port:
                 address = Address(settings.ready.host, metrics_port)
-                group.start_soon(HttpServer(probes, address, CLOSE_LIMIT_S).run)
+                group.start_soon(HttpServer(probe_app, address, CLOSE_TIMEOUT_S).run)
             group.start_soon(node.run)
-            async for number in signals:
-                if number != signal.SIGHUP:
+            async for signal_number in signals:
+                if signal_number != signal.SIGHUP:
                     break
-                reload_settings(path, settings)
-            await _stop(node, callers, front, ready)
+                check_settings_file(path, settings)
+            await _stop(node, caller_app, caller_server, probe_server)
             group.cancel_scope.cancel()
     _LOG.info("stop", boot=node.boot)
     return 0
 
 
-def reload_settings(path: str, settings: NodeSettings) -> None:
-    """Read the settings file again and say what it changes.
+def check_settings_file(path: str, settings: NodeSettings) -> None:
+    """Read the settings file again; log whether it differs from the settings in use.
 
-    A faulty file is only reported: the node goes on with the settings in force.
+    No setting is changed. An invalid file is only logged, so that it does not stop the
+    node.
 
-    :param path: path of the file.
-    :param settings: those in force.
+    :param path: path of the settings file.
+    :param settings: settings in use.
     """
     try:
         changed = load_settings(path) != settings
     except DocumentError as error:
         _LOG.warning("reload refused", faults=[str(fault) for fault in error.faults])
         return
-    _LOG.info("reload", changed=changed, note="addresses take effect at a restart")
+    _LOG.info("reload", changed=changed, note="changes take effect at a restart")
 
 
 async def _stop(
-    node: Node, callers: CallerApp, front: HttpServer, ready: HttpServer
+    node: Node,
+    caller_app: CallerApp,
+    caller_server: HttpServer,
+    probe_server: HttpServer,
 ) -> None:
     _LOG.info("stopping", owned=len(node.owners))
-    callers.closing = True
-    with anyio.move_on_after(RELEASE_LIMIT_S):
+    caller_app.closing = True
+    with anyio.move_on_after(RELEASE_TIMEOUT_S):
         await node.release()
-    await anyio.sleep(LINGER_S)
-    front.stop()
-    # whoever is answered waits for the store: cut off, it would get a 500
-    with anyio.move_on_after(CLOSE_LIMIT_S * 1.25):
-        await front.ended.wait()
-    ready.stop()
+    await anyio.sleep(BALANCER_DRAIN_S)
+    caller_server.stop()
+    # Requests in flight wait for the store; if cancelled, they would be answered 500.
+    with anyio.move_on_after(CLOSE_TIMEOUT_S * 1.25):
+        await caller_server.ended.wait()
+    probe_server.stop()
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -1,4 +1,4 @@
-"""Ownership, fenced writes, the desk, health of the store, bounded logs."""
+"""Tests of shard claims, fenced writes, the job API, store health and bounded logs."""
 
 import contextlib
 import os
@@ -21,7 +21,7 @@
 from onyxgap.daemons.desk import NodeDesk
 from onyxgap.daemons.fence import FencedWriter
 from onyxgap.daemons.node import Node
-from onyxgap.daemons.node_process import reload_settings
+from onyxgap.daemons.node_process import check_settings_file
 from onyxgap.exceptions import FrameError
 from onyxgap.exceptions import OwnershipLostError
 from onyxgap.exceptions import PlatformUnavailableError
@@ -74,55 +74,65 @@
 from tests.exchanges import build_exchange
 from tests.ports import find_port
 
-ROW = OwnerRow("node-1", "boot-1", 4)
-ME = Claimant("node-2", "boot-2", 0)
+OWNER_ROW = OwnerRow("node-1", "boot-1", 4)
+CLAIMANT = Claimant("node-2", "boot-2", 0)
 POLICY = QueuePolicy("q", "s")
 ROUTE = Route("h", "/p/", POLICY)
 SUBMISSION = Submission("a" * 16, POLICY, "spec", (Step(1, cpu=10),))
 
 
-def claimable(view: OwnerView, now: float, me: Claimant = ME, heard: float = 0) -> bool:
-    return bool(list_claimable({"s": view}, me, heard, now))
+def is_claimable(
+    view: OwnerView,
+    now: float,
+    claimant: Claimant = CLAIMANT,
+    reachable_since: float = 0,
+) -> bool:
+    return bool(list_claimable({"s": view}, claimant, reachable_since, now))
 
 
-def test_silent_owner_is_claimed_after_its_silence_and_not_before() -> None:
-    view = OwnerView(ROW, 7, changed_at=10.0)
-    assert not claimable(view, 10.0 + SILENCE_S - 0.01)
-    assert claimable(view, 10.0 + SILENCE_S + SPREAD_S)
+def test_shard_is_claimed_after_the_owner_timeout_and_not_before() -> None:
+    view = OwnerView(OWNER_ROW, 7, changed_at=10.0)
+    assert not is_claimable(view, 10.0 + SILENCE_S - 0.01)
+    assert is_claimable(view, 10.0 + SILENCE_S + SPREAD_S)
 
 
-def test_silence_counts_later_while_the_store_is_slow() -> None:
-    view = OwnerView(ROW, 7, changed_at=10.0)
-    slow = attrs.evolve(ME, latency_s=0.24)
-    assert not claimable(view, 10.0 + SILENCE_S + SPREAD_S, slow)
-    assert claimable(view, 10.0 + SILENCE_S + SPREAD_S + 8 * 0.24, slow)
+def test_owner_timeout_is_longer_while_the_store_is_slow() -> None:
+    view = OwnerView(OWNER_ROW, 7, changed_at=10.0)
+    slow = attrs.evolve(CLAIMANT, latency_s=0.24)
+    assert not is_claimable(view, 10.0 + SILENCE_S + SPREAD_S, slow)
+    assert is_claimable(view, 10.0 + SILENCE_S + SPREAD_S + 8 * 0.24, slow)
     health = StoreHealth()
     for _ in range(2):
         health.note_latency(0.24)
     assert health.latency_s == pytest.approx(0.18)
 
 
-def test_silence_while_the_store_was_away_shows_nothing() -> None:
-    view = OwnerView(ROW, 7, changed_at=10.0)
-    assert not claimable(view, 20.0, heard=19.0)
-    assert claimable(view, 19.0 + SILENCE_S + SPREAD_S, heard=19.0)
+def test_owner_timeout_starts_when_the_store_is_reachable_again() -> None:
+    view = OwnerView(OWNER_ROW, 7, changed_at=10.0)
+    assert not is_claimable(view, 20.0, reachable_since=19.0)
+    assert is_claimable(view, 19.0 + SILENCE_S + SPREAD_S, reachable_since=19.0)
 
 
-def test_released_shard_is_claimed_soon_by_a_node_that_owns_little() -> None:
-    view = OwnerView(attrs.evolve(ROW, released=True), 7, changed_at=10.0)
-    assert claimable(view, 10.0 + SPREAD_S)
-    loaded = attrs.evolve(ME, owned=2)
-    assert not claimable(view, 10.0 + 2 * OWNED_DELAY_S - 0.01, loaded)
+def test_released_shard_is_claimed_earlier_by_a_node_that_owns_fewer_shards() -> None:
+    view = OwnerView(attrs.evolve(OWNER_ROW, released=True), 7, changed_at=10.0)
+    assert is_claimable(view, 10.0 + SPREAD_S)
+    loaded = attrs.evolve(CLAIMANT, owned=2)
+    assert not is_claimable(view, 10.0 + 2 * OWNED_DELAY_S - 0.01, loaded)
 
 
-def test_restarted_node_takes_its_own_shard_back_at_once() -> None:
-    view = OwnerView(ROW, 7, changed_at=10.0)
-    assert claimable(view, 10.0, Claimant("node-1", "boot-9", 0))
+def test_restarted_node_reclaims_its_own_shard_at_once() -> None:
+    view = OwnerView(OWNER_ROW, 7, changed_at=10.0)
+    assert is_claimable(view, 10.0, Claimant("node-1", "boot-9", 0))
 
 
 @attrs.define
 class ScriptedStore:
-    """A store that does or loses each write as it is told."""
+    """Store that applies, refuses or loses each write as scripted.
+
+    Steps of the script: ``do`` applies the write, ``refuse`` answers that it was not
+    applied, ``drop`` loses the request, ``lose`` applies the write and loses the
+    answer. While ``unreadable`` is the next step, all reads fail.
+    """
 
     inner: EmulatedStoreClient
     script: list[str]
@@ -152,16 +162,18 @@
         return await self.inner.follow(table, after, wait_s)
 
 
-def test_shard_is_claimed_early_when_its_owner_lacks_the_store() -> None:
-    view = OwnerView(ROW, 7, changed_at=10.0).note_hand_over(10.5)
-    assert not claimable(view, 10.5)
-    assert claimable(view.note_hand_over(10.9), 10.5 + SPREAD_S)
-    # the notice was not repeated, or this node did not hear the store either
-    assert not claimable(view, 10.5 + HAND_OVER_VALID_S + 0.1)
-    assert not claimable(view.note_hand_over(10.9), 10.5 + SPREAD_S, heard=10.6)
+def test_shard_is_claimed_early_when_its_owner_cannot_reach_the_store() -> None:
+    view = OwnerView(OWNER_ROW, 7, changed_at=10.0).note_hand_over(10.5)
+    assert not is_claimable(view, 10.5)
+    assert is_claimable(view.note_hand_over(10.9), 10.5 + SPREAD_S)
+    # the notice was not repeated, or the store was unreachable for this node, too
+    assert not is_claimable(view, 10.5 + HAND_OVER_VALID_S + 0.1)
+    assert not is_claimable(
+        view.note_hand_over(10.9), 10.5 + SPREAD_S, reachable_since=10.6
+    )
 
 
-def test_notice_survives_its_datagram() -> None:
+def test_notice_is_decoded_as_it_was_encoded() -> None:
     for notice in (JobNotice("s", "k"), HandOver("s", "boot-1", 4)):
         assert decode_notices(encode_notice("1.2.3.4:5", notice)) == [notice]
     for datagram in (b"", b"\x00\x00\x00\x05hello", os.urandom(200)):
@@ -169,30 +181,30 @@
             decode_notices(datagram)
 
 
-def test_notices_reach_another_process_address() -> None:
+def test_notice_reaches_the_address_of_another_node() -> None:
     async def exchange() -> list[t.Any]:
-        taken: list[t.Any] = []
-        first = DatagramPeers(Address("127.0.0.1", find_port(socket.SOCK_DGRAM)))
-        second = DatagramPeers(Address("127.0.0.1", find_port(socket.SOCK_DGRAM)))
+        received: list[t.Any] = []
+        receiver = DatagramPeers(Address("127.0.0.1", find_port(socket.SOCK_DGRAM)))
+        sender = DatagramPeers(Address("127.0.0.1", find_port(socket.SOCK_DGRAM)))
         async with anyio.create_task_group() as group:
-            group.start_soon(first.run, taken.append)
-            group.start_soon(second.run, lambda _: None)
+            group.start_soon(receiver.run, received.append)
+            group.start_soon(sender.run, lambda _: None)
             with anyio.fail_after(10):
-                while not taken:
-                    second.send("nowhere", JobNotice("s", "k"))
-                    second.send(first.get_address(), JobNotice("s", "k"))
+                while not received:
+                    sender.send("nowhere", JobNotice("s", "k"))
+                    sender.send(receiver.get_address(), JobNotice("s", "k"))
                     await anyio.sleep(0.02)
             group.cancel_scope.cancel()
-        return taken
+        return received
 
     assert anyio.run(exchange)[0] == JobNotice("s", "k")
 
 
-def test_socket_that_cannot_be_opened_does_not_end_the_process() -> None:
+def test_notice_socket_that_cannot_be_bound_does_not_end_the_process() -> None:
     async def run() -> bool:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
-            taken.bind(("127.0.0.1", 0))
-            peers = DatagramPeers(Address("127.0.0.1", taken.getsockname()[1]))
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as bound_socket:
+            bound_socket.bind(("127.0.0.1", 0))
+            peers = DatagramPeers(Address("127.0.0.1", bound_socket.getsockname()[1]))
             with anyio.move_on_after(0.3) as scope:
                 await peers.run(lambda _: None)
             return scope.cancelled_caught
@@ -215,13 +227,13 @@
 def build_writer(scripted: ScriptedStore, store: EmulatedStore) -> FencedWriter:
     store.put(tables.get_fence_row("s"), b"boot-1/4/0")
     writer = FencedWriter(
-        "s", ROW, store.version, "boot-1/4/0", scripted, random.Random(1)
+        "s", OWNER_ROW, store.version, "boot-1/4/0", scripted, random.Random(1)
     )
     return writer
 
 
 @pytest.mark.parametrize("step", ["refuse", "drop", "lose"])
-def test_fenced_write_ends_applied_once(step: str) -> None:
+def test_fenced_write_is_applied_despite_lost_and_refused_attempts(step: str) -> None:
     async def test(scripted: ScriptedStore, store: EmulatedStore) -> None:
         writer = build_writer(scripted, store)
         row = tables.get_progress_row("s", "j")
@@ -232,7 +244,7 @@
     run_with_store(test, step, "do", step)
 
 
-def test_write_of_a_former_owner_is_refused() -> None:
+def test_write_of_a_previous_owner_is_refused() -> None:
     async def test(scripted: ScriptedStore, store: EmulatedStore) -> None:
         writer = build_writer(scripted, store)
         store.put(tables.get_fence_row("s"), b"boot-9/5/0")
@@ -244,7 +256,7 @@
     run_with_store(test)
 
 
-def build_desk(scripted: ScriptedStore) -> NodeDesk:
+def build_job_api(scripted: ScriptedStore) -> NodeDesk:
     clocks = EmulatedClocks()
     health = StoreHealth()
     routes = RouteTable()
@@ -265,11 +277,11 @@
         (["lose", *["refuse"] * 99], SubmitOutcome.UNKNOWN),
     ],
 )
-def test_submission_ends_as_its_caller_is_told(
+def test_submission_outcome_matches_the_store(
     script: list[str], outcome: SubmitOutcome
 ) -> None:
     async def test(scripted: ScriptedStore, store: EmulatedStore) -> None:
-        result = await build_desk(scripted).submit(SUBMISSION)
+        result = await build_job_api(scripted).submit(SUBMISSION)
         assert result.outcome is outcome
         stored = tables.get_job_row("s", SUBMISSION.job_id) in store.rows
         assert stored or outcome is not SubmitOutcome.ACCEPTED
@@ -278,14 +290,14 @@
     run_with_store(test, *script)
 
 
-def test_same_id_is_one_job_and_another_body_is_refused() -> None:
+def test_repeated_submission_is_one_job_and_another_body_is_refused() -> None:
     async def test(scripted: ScriptedStore, store: EmulatedStore) -> None:
-        desk = build_desk(scripted)
+        job_api = build_job_api(scripted)
         for _ in range(2):
-            result = await desk.submit(SUBMISSION)
+            result = await job_api.submit(SUBMISSION)
             assert result.outcome is SubmitOutcome.ACCEPTED
         other = attrs.evolve(SUBMISSION, spec="other")
-        result = await desk.submit(other)
+        result = await job_api.submit(other)
         assert result.outcome is SubmitOutcome.OTHER_REQUEST
 
     run_with_store(test)
@@ -293,28 +305,28 @@
 
 def test_state_and_cancel_of_unknown_and_known_jobs() -> None:
     async def test(scripted: ScriptedStore, store: EmulatedStore) -> None:
-        desk = build_desk(scripted)
+        job_api = build_job_api(scripted)
         job_id = SUBMISSION.job_id
-        assert await desk.get_state(ROUTE, job_id) is None
-        assert await desk.cancel(ROUTE, job_id) is False
-        await desk.submit(SUBMISSION)
-        assert await desk.get_state(ROUTE, job_id) is JobState.QUEUED
-        assert await desk.cancel(ROUTE, job_id) is True
-        assert await desk.cancel(ROUTE, job_id) is True
+        assert await job_api.get_state(ROUTE, job_id) is None
+        assert await job_api.cancel(ROUTE, job_id) is False
+        await job_api.submit(SUBMISSION)
+        assert await job_api.get_state(ROUTE, job_id) is JobState.QUEUED
+        assert await job_api.cancel(ROUTE, job_id) is True
+        assert await job_api.cancel(ROUTE, job_id) is True
 
     run_with_store(test)
 
 
 def test_job_stays_known_after_its_queue_moved_to_another_service() -> None:
     async def test(scripted: ScriptedStore, store: EmulatedStore) -> None:
-        desk = build_desk(scripted)
-        await desk.submit(SUBMISSION)
+        job_api = build_job_api(scripted)
+        await job_api.submit(SUBMISSION)
         moved = attrs.evolve(ROUTE, policy=attrs.evolve(POLICY, service="s2"))
         services = {"s": Service("s"), "s2": Service("s2")}
-        assert desk.routes.adopt(Configuration(2, (moved,), services))
-        assert await desk.get_state(moved, SUBMISSION.job_id) is JobState.QUEUED
+        assert job_api.routes.adopt(Configuration(2, (moved,), services))
+        assert await job_api.get_state(moved, SUBMISSION.job_id) is JobState.QUEUED
         again = attrs.evolve(SUBMISSION, policy=moved.policy)
-        result = await desk.submit(again)
+        result = await job_api.submit(again)
         assert (result.outcome, result.reason) == (SubmitOutcome.ACCEPTED, "known")
         assert tables.get_job_row("s2", SUBMISSION.job_id) not in store.rows
 
@@ -322,53 +334,53 @@
 
 
 @pytest.mark.parametrize("gang", [False, True])
-def test_what_can_never_run_within_its_cap_is_refused_at_once(gang: bool) -> None:
+def test_job_larger_than_its_tenants_cap_is_refused(gang: bool) -> None:
     async def test(scripted: ScriptedStore, store: EmulatedStore) -> None:
-        desk = build_desk(scripted)
+        job_api = build_job_api(scripted)
         step = Step(4 if gang else 1, cpu=100 if gang else 400, gang=gang)
         job = attrs.evolve(SUBMISSION, tenant="north", steps=(step,))
-        desk.routes.caps["north"] = Amount(400, NO_LIMIT, NO_LIMIT)
-        assert (await desk.submit(job)).outcome is SubmitOutcome.ACCEPTED
-        desk.routes.caps["north"] = Amount(399, NO_LIMIT, NO_LIMIT)
-        # it was accepted before, and still is
-        assert (await desk.submit(job)).outcome is SubmitOutcome.ACCEPTED
+        job_api.routes.caps["north"] = Amount(400, NO_LIMIT, NO_LIMIT)
+        assert (await job_api.submit(job)).outcome is SubmitOutcome.ACCEPTED
+        job_api.routes.caps["north"] = Amount(399, NO_LIMIT, NO_LIMIT)
+        # a job that was accepted under the previous cap is still accepted
+        assert (await job_api.submit(job)).outcome is SubmitOutcome.ACCEPTED
         other = attrs.evolve(job, job_id="b" * 16)
-        assert (await desk.submit(other)).outcome is SubmitOutcome.ABOVE_CAP
+        assert (await job_api.submit(other)).outcome is SubmitOutcome.ABOVE_CAP
         assert tables.get_job_row("s", other.job_id) not in store.rows
 
     run_with_store(test)
 
 
-def test_outage_is_refused_at_once_and_never_guessed() -> None:
+def test_requests_are_refused_without_delay_during_a_store_outage() -> None:
     async def test(scripted: ScriptedStore, store: EmulatedStore) -> None:
-        desk = build_desk(scripted)
+        job_api = build_job_api(scripted)
         scripted.script = ["unreadable"] * 9
-        assert await desk.get_state(ROUTE, "b" * 16) is Unavailable.STORE
+        assert await job_api.get_state(ROUTE, "b" * 16) is Unavailable.STORE
         await anyio.sleep(OUTAGE_S)
         started = anyio.current_time()
-        result = await desk.submit(SUBMISSION)
+        result = await job_api.submit(SUBMISSION)
         assert result.outcome is SubmitOutcome.REFUSED
         assert anyio.current_time() == started
-        assert not desk.is_ready()
+        assert not job_api.is_ready()
 
     run_with_store(test)
 
 
 @pytest.mark.parametrize("text", ["", "node=front-a-1\ncontrol_mode=heartbeat\n"])
-def test_faulty_settings_at_a_reload_do_not_end_the_node(
+def test_invalid_settings_at_a_reload_do_not_end_the_node(
     text: str, tmp_path: pathlib.Path
 ) -> None:
     path = tmp_path / "node.conf"
     path.write_text(text)
     settings = NodeSettings("node-1", "z", Address(), Address(), "-")
     with structlog.testing.capture_logs() as lines:
-        reload_settings(str(path), settings)
-        reload_settings(str(tmp_path / "missing"), settings)
+        check_settings_file(str(path), settings)
+        check_settings_file(str(tmp_path / "missing"), settings)
     assert [line["event"] for line in lines] == ["reload refused"] * 2
     assert all(line["faults"] for line in lines)
 
 
-def test_configuration_never_goes_back() -> None:
+def test_older_configuration_is_not_adopted() -> None:
     routes = RouteTable()
     assert routes.adopt(Configuration(5, (ROUTE,), {}))
     assert not routes.adopt(Configuration(4, (), {}))
@@ -376,7 +388,7 @@
     assert routes.find("h", "/p/x") == ROUTE
 
 
-def test_longest_prefix_wins() -> None:
+def test_route_with_the_longest_prefix_is_found() -> None:
     longer = attrs.evolve(ROUTE, prefix="/p/q/")
     routes = RouteTable()
     routes.adopt(Configuration(1, (ROUTE, longer), {}))
@@ -385,11 +397,11 @@
     assert routes.find("other", "/p/1") is None
 
 
-def test_claim_uses_the_view_that_was_judged() -> None:
+def test_claim_expects_the_owner_row_it_was_decided_on() -> None:
     async def test(scripted: ScriptedStore, store: EmulatedStore) -> None:
         row_id = tables.get_owner_row("s")
-        store.put(row_id, tables.encode_owner(ROW))
-        judged = OwnerView(ROW, store.version, 0.0)
+        store.put(row_id, tables.encode_owner(OWNER_ROW))
+        decision_view = OwnerView(OWNER_ROW, store.version, 0.0)
         health = StoreHealth()
         watched = WatchedStore(scripted, health, EmulatedClocks())
         node = Node(
@@ -402,18 +414,19 @@
             EmulatedClocks(),
             random.Random(1),
         )
-        # another node claims, and a read shows it before the claim is sent
+        # Another node claims the shard, and this node reads that claim after it has
+        # decided to claim and before it sends its own.
         other = OwnerRow("node-3", "boot-3", 5)
         store.put(row_id, tables.encode_owner(other))
         node.views["s"] = OwnerView(other, store.version, 0.0)
-        await node._try_claim("s", judged)
+        await node._try_claim("s", decision_view)
         assert tables.decode_owner(store.rows[row_id].value) == other
         assert not node.owners
 
     run_with_store(test)
 
 
-def test_write_timeout_follows_the_store() -> None:
+def test_write_timeout_adapts_to_the_store() -> None:
     timeout = WriteTimeout()
     assert timeout.get() == LEAST_S
     timeout.note_silence()
@@ -428,7 +441,7 @@
     assert timeout.get() == MOST_S
 
 
-def test_routine_leaves_room_in_the_log_for_what_is_rare() -> None:
+def test_routine_log_lines_leave_capacity_for_other_lines() -> None:
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     lines = BoundedLines(writer, read_clock=lambda: 0.0)
