--- a/src/onyxgap/daemons/fence.py
+++ b/src/onyxgap/daemons/fence.py
@@ -1,4 +1,4 @@
-"""Writes of an owner: fenced by a row whose version each of them expects."""
+"""Fenced writes of a shard's owner: each expects the version of the fence row."""
 
 import math
 import random
@@ -16,12 +16,14 @@
 from ..jobs.store import Store
 from ..jobs.tables import OwnerRow
 
-BEAT_S = 0.7
-"""Three renewals fit into the silence after which others claim the shard."""
+RENEWAL_INTERVAL_S = 0.7
+"""Time between two renewals of the owner row. Three of them fit into the owner
+time-out, after which other nodes claim the shard."""
 RETRY_MIN_S = 0.03
-"""About twice the time of a transaction."""
+"""First delay before a write is repeated: about twice the time of a transaction."""
 RETRY_MAX_S = 0.4
-"""A store that returns is used again within this time."""
+"""Longest delay before a write is repeated, so that a store that has become available
+again is used within this time."""
 
 
 @attrs.define(eq=False)
@@ -30,10 +32,10 @@
 
     :param shard: the shard.
     :param owner: the owner row as it was claimed.
-    :param version: version of the fence row.
-    :param nonce: value of the fence row, unique to each write.
+    :param version: expected version of the fence row.
+    :param nonce: last known value of the fence row, unique to each write.
     :param store: the store.
-    :param rng: spreads retries.
+    :param rng: source of the jitter of retries.
     """
 
     shard: str
@@ -42,12 +44,12 @@
     nonce: str
     store: Store
     rng: random.Random
-    _beat_at: float = -math.inf
+    _renewed_at: float = -math.inf
     _sequence: int = 0
 
     def is_beat_due(self, now: float) -> bool:
         """Tell whether the owner row must be renewed."""
-        return now - self._beat_at >= BEAT_S
+        return now - self._renewed_at >= RENEWAL_INTERVAL_S
 
     def put_beat(
         self,
@@ -56,12 +58,12 @@
         waiting: t.Mapping[str, int],
         outlook: t.Mapping[str, t.Any] | None = None,
     ) -> None:
-        """Add the renewed owner row to a write.
+        """Add the renewed owner row to the rows of a write.
 
-        :param puts: rows of the write.
+        :param puts: rows of the write; the owner row is added to them.
         :param now: monotonic seconds.
         :param waiting: jobs of which nothing has started, by queue.
-        :param outlook: how long the shard's line is.
+        :param outlook: encoded delay estimate of the shard.
         """
         self.owner = attrs.evolve(
             self.owner,
@@ -70,12 +72,15 @@
             outlook=outlook or {},
         )
         puts[tables.get_owner_row(self.shard)] = tables.encode_owner(self.owner)
-        self._beat_at = now
+        self._renewed_at = now
 
     async def write(
         self, puts: t.Mapping[RowId, bytes], removals: tuple[RowId, ...] = ()
     ) -> None:
-        """Write until the outcome is certain; the fence settles lost answers.
+        """Write rows, retrying until the outcome is certain.
+
+        If the answer to an attempt is lost, the value of the fence row tells whether
+        the attempt was applied.
 
         :param puts: rows to write.
         :param removals: rows to remove.
@@ -99,15 +104,17 @@
                     self.version, self.nonce = row.version, nonce
                     return
                 if row is None or written != self.nonce:
-                    raise OwnershipLostError(f"fence of {self.shard} is {written!r}")
-                # only the version differs from what was written last
+                    raise OwnershipLostError(
+                        f"fence row of shard {self.shard} was changed to {written!r}"
+                    )
+                # the fence row has our last value: only its version differs
                 self.version = row.version
                 continue
             await anyio.sleep(delay * self.rng.uniform(0.5, 1.0))
             delay = min(delay * 2, RETRY_MAX_S)
 
     async def release(self) -> None:
-        """Give the shard up, so that another node claims it at once.
+        """Release the shard, so that another node can claim it at once.
 
         :raises OwnershipLostError: when another node has claimed it already.
         """
--- a/src/onyxgap/daemons/follower.py
+++ b/src/onyxgap/daemons/follower.py
@@ -1,4 +1,4 @@
-"""Follows the changes of a table and hands them on."""
+"""Reads partitions of a table, then follows its change feed."""
 
 import random
 import typing as t
@@ -14,34 +14,39 @@
 from ..jobs.store import StoredRow
 
 WAIT_S = 1.2
-"""Longest wait for a change: a channel that went silent is found within 1.9 s,
-below the 2 s in which a new configuration must be in force."""
+"""Longest wait for a change in one call. A connection that no longer answers is thus
+found within 1.9 s, below the 2 s within which a new configuration must be in force."""
 RETRY_MIN_S = 0.05
-"""First pause after a failed call, halved at random so that nodes do not return as
-one."""
+"""First delay after a failed call. Delays are shortened by up to a half at random, so
+that the nodes do not all retry at once."""
 RETRY_MAX_S = 0.4
-"""A store that returns is read again within this time."""
+"""Longest delay after a failed call, so that a store that has become available again is
+read within this time."""
 
 _LOG = structlog.get_logger()
 
 OnRows = t.Callable[[t.Sequence[StoredRow], bool], None]
+"""Called with rows, and whether they are a snapshot of all rows or only changes."""
 
 
 @attrs.define
 class Follower:
-    """Reads some partitions of a table whole, then every change.
+    """Reads partitions of a table, then follows every change of the table.
+
+    The partitions are read again if the store no longer has all changes since.
 
     :param store: the store.
     :param table: the table.
-    :param parts: partitions to read at the start.
-    :param on_rows: takes rows, and whether they are all that there is.
-    :param rng: spreads retries.
-    :param wait_s: longest wait of one call.
-    :param pause_s: pause between calls, for changes that may be late.
-    :param after: version to start from without reading, 0 to read.
-    :param on_current: takes the moment, on the boot clock, up to which every change
-        was handed on; ``None`` where nobody asks.
-    :param read_boot: reads that clock, which counts while the VM is suspended.
+    :param parts: lists the partitions to read for a snapshot.
+    :param on_rows: called with each snapshot and with the rows of each change.
+    :param rng: source of the jitter of retries.
+    :param wait_s: longest time in seconds that one call waits for a change.
+    :param pause_s: seconds between calls; greater than 0 for changes that need not be
+        applied at once.
+    :param after: version after which changes are followed; 0 to read a snapshot first.
+    :param on_current: called with the time, in seconds of the boot clock, up to which
+        all changes were passed to ``on_rows``; ``None`` if not needed.
+    :param read_boot: reads the boot clock, which also counts while the VM is suspended.
     """
 
     store: Store
@@ -56,17 +61,19 @@
     read_boot: t.Callable[[], float] = anyio.current_time
 
     async def run(self) -> t.NoReturn:
-        """Follow the table for ever, through outages of the store."""
+        """Follow the table until cancelled; outages of the store are waited for."""
         delay = RETRY_MIN_S
         while True:
             try:
-                waits = self.after > 0
+                long_polled = self.after > 0
                 await self._advance()
                 delay = RETRY_MIN_S
-                if self.pause_s and waits:
+                if self.pause_s and long_polled:
                     await anyio.sleep(self.pause_s)
             except HistoryLostError:
-                _LOG.info("history lost, reading again", table=self.table)
+                _LOG.info(
+                    "change history lost, reading a new snapshot", table=self.table
+                )
                 self.after = 0
             except PlatformUnavailableError:
                 await anyio.sleep(delay * self.rng.uniform(0.5, 1.0))
@@ -75,24 +82,24 @@
     async def _advance(self) -> None:
         sent_at = self.read_boot()
         if not self.after:
-            await self._read_whole()
-            self._note_current(sent_at)
+            await self._read_snapshot()
+            self._report_caught_up(sent_at)
             return
         asked_at = anyio.current_time()
         page = await self.store.follow(self.table, self.after, self.wait_s)
         self.after = max(self.after, page.version)
         if page.rows:
             self.on_rows(page.rows, False)
-            self._note_current(sent_at)
+            self._report_caught_up(sent_at)
         elif anyio.current_time() - asked_at >= self.wait_s:
-            # the store waited all the while, and nothing changed
-            self._note_current(sent_at + self.wait_s)
+            # the store waited for the whole time and reported no change
+            self._report_caught_up(sent_at + self.wait_s)
 
-    def _note_current(self, at: float) -> None:
+    def _report_caught_up(self, at: float) -> None:
         if self.on_current is not None:
             self.on_current(at)
 
-    async def _read_whole(self) -> None:
+    async def _read_snapshot(self) -> None:
         pages: list[Page] = []
         for part in self.parts():
             pages.append(await self.store.read(self.table, part))
--- a/src/onyxgap/daemons/lag.py
+++ b/src/onyxgap/daemons/lag.py
@@ -1,23 +1,23 @@
-"""How late the event loop of the process is; tells when it has too much to do."""
+"""Measures the lag of the event loop, which grows while the process is overloaded."""
 
 import anyio
 import attrs
 
 from ..clocks import Clocks
 
-LOOK_S = 0.1
-"""Pause between two looks: a fifth of the time that an order stays valid."""
+SAMPLE_INTERVAL_S = 0.1
+"""Time between two samples: a fifth of the time for which a start order is valid."""
 DECAY = 0.7
-"""Share of an earlier lateness that still counts at the next look: half of it
-is forgotten after 0.2 s."""
+"""Factor by which a measured lag decreases with each sample: it halves in 0.2 s."""
 
 
 @attrs.define(eq=False)
 class LoopLag:
-    """Measures how late timers of the process fire.
+    """Measures how late timers of the event loop fire.
 
     :param clocks: the process's clocks.
-    :param seconds: lateness, the newest one or what is left of earlier ones.
+    :param seconds: lag; the newest sample, or the decayed value of an earlier one if
+        that is larger.
     """
 
     clocks: Clocks
@@ -26,7 +26,7 @@
     async def watch(self) -> None:
         """Measure until cancelled."""
         while True:
-            due = self.clocks.read_monotonic() + LOOK_S
-            await anyio.sleep(LOOK_S)
-            late_s = max(0.0, self.clocks.read_monotonic() - due)
-            self.seconds = max(late_s, self.seconds * DECAY)
+            due = self.clocks.read_monotonic() + SAMPLE_INTERVAL_S
+            await anyio.sleep(SAMPLE_INTERVAL_S)
+            lag_s = max(0.0, self.clocks.read_monotonic() - due)
+            self.seconds = max(lag_s, self.seconds * DECAY)
--- a/src/onyxgap/daemons/owned.py
+++ b/src/onyxgap/daemons/owned.py
@@ -1,4 +1,4 @@
-"""What the owner of a shard and the holder of the fleet duty have in common."""
+"""Base class of shard owners and of the holder of the fleet controller role."""
 
 import typing as t
 
@@ -12,9 +12,11 @@
 
 @attrs.define(eq=False)
 class OwnedShard:
-    """A shard of this node, from its claim to its loss or release.
+    """A shard that this node owns, from its claim to its loss or release.
 
-    :param writer: writes its rows under its fence.
+    :param writer: writes the rows of the shard, fenced by its fence row.
+    :param releasing: set when the node wants to release the shard.
+    :param released: set once this owner has ended, by release, loss or failure.
     """
 
     writer: FencedWriter
@@ -34,7 +36,7 @@
         return self.writer.owner.epoch
 
     def wake(self) -> None:
-        """Have the decision loop look again."""
+        """Wake the loop of the owner before its next interval ends."""
         self._wake.set()
 
     async def _wait_for_wake(self, longest_s: float) -> None:
@@ -47,10 +49,11 @@
         load: t.Callable[[], t.Awaitable[None]],
         work: t.Callable[[anyio.abc.TaskGroup], t.Awaitable[None]],
     ) -> None:
-        """Load the shard, then work on it until that returns.
+        """Load the shard, then run its work until that returns.
 
         :param load: reads the rows of the shard.
-        :param work: starts what runs beside it, and returns once it is released.
+        :param work: starts background tasks in the group that it is given, and returns
+            once the shard is released; the tasks are then cancelled.
         :raises OwnershipLostError: when another node has claimed it.
         """
         try:
--- a/src/onyxgap/daemons/vm_watch.py
+++ b/src/onyxgap/daemons/vm_watch.py
@@ -1,4 +1,4 @@
-"""Looks at the list of VMs while workers are silent, to tell dead from cut off."""
+"""Finds out which silent workers are dead, by the platform's list of VMs."""
 
 import typing as t
 
@@ -11,46 +11,51 @@
 from ..pools.messages import Cloud
 from ..pools.messages import VmState
 
-PAUSE_S = 0.4
-"""Pause between two lists while a worker is silent; all nodes share 64 a second."""
-IDLE_PAUSE_S = 0.1
-"""Pause between two looks for silent workers; it costs no call."""
+LIST_INTERVAL_S = 0.4
+"""Time between two requests for the list while a worker is silent. All nodes together
+may send 64 requests a second."""
+IDLE_CHECK_INTERVAL_S = 0.1
+"""Time between two checks for silent workers, which need no call."""
 
 _LOG = structlog.get_logger()
 
 
-class Watcher(t.Protocol):
-    """Somebody who may have silent workers."""
+class SilentWorkerOwner(t.Protocol):
+    """Shard owner that may have silent workers."""
 
     def has_silent_workers(self) -> bool:
-        """Tell whether any worker gives no answer."""
+        """Tell whether any worker is silent."""
 
     def apply_live_workers(self, live: t.Collection[str], sent_at: float) -> None:
-        """Take in which workers are alive by the platform's list."""
+        """Release the runs of silent workers whose VMs are not up.
+
+        :param live: workers of VMs that are up.
+        :param sent_at: monotonic seconds when the list was requested.
+        """
 
 
 @attrs.define
 class VmWatch:
-    """Tells owners which silent workers are dead.
+    """Lists VMs while workers are silent and tells their owners which VMs are up.
 
-    A crashed VM is listed as down at once, one that is only cut off as up, so
-    that the runs of a dead worker need not wait for the end of their lease.
+    The platform lists a crashed VM as down at once, and one that is only unreachable
+    as up. So the runs of a dead worker are released before their lease ends.
 
     :param cloud: calls about VMs.
     :param clocks: the process's clocks.
-    :param watchers: gives those that may have silent workers.
+    :param list_owners: lists the owners of shards on this node.
     """
 
     cloud: Cloud
     clocks: Clocks
-    watchers: t.Callable[[], t.Sequence[Watcher]]
+    list_owners: t.Callable[[], t.Sequence[SilentWorkerOwner]]
 
     async def run(self) -> None:
         """Watch until cancelled."""
         while True:
-            watchers = [item for item in self.watchers() if item.has_silent_workers()]
-            if not watchers:
-                await anyio.sleep(IDLE_PAUSE_S)
+            owners = [item for item in self.list_owners() if item.has_silent_workers()]
+            if not owners:
+                await anyio.sleep(IDLE_CHECK_INTERVAL_S)
                 continue
             sent_at = self.clocks.read_monotonic()
             try:
@@ -59,6 +64,6 @@
                 _LOG.info("VMs not listed", reason=str(error))
             else:
                 live = {vm.worker_id for vm in vms if vm.state is VmState.UP}
-                for watcher in watchers:
-                    watcher.apply_live_workers(live, sent_at)
-            await anyio.sleep(PAUSE_S)
+                for owner in owners:
+                    owner.apply_live_workers(live, sent_at)
+            await anyio.sleep(LIST_INTERVAL_S)
