--- a/src/onyxgap/daemons/control.py
+++ b/src/onyxgap/daemons/control.py
@@ -1,4 +1,4 @@
-"""The control process: shares out the pools and keeps them in line."""
+"""Control process: reconciles the pools that it owns with their declared state."""
 
 import collections
 import random
@@ -45,26 +45,28 @@
 from ..shared.membership import pick_owner
 from ..shared.node import Node
 from ..shared.node import PeerSender
-from .entry import build_row
+from .entry import build_member_row
 from .entry import describe_node
 from .retention import OWNER_KEY as RETENTION_KEY
 from .retention import Sweeper
 
 MAX_EVENTS_PER_ENTRY = 2_000
-ORDERS_AT_ONCE = 16
-STORE_SILENT_S = 5.0
+MAX_CONCURRENT_ORDERS = 16
+MAX_STORE_AGE_S = 5.0
 _LOG = structlog.get_logger()
 
 
 @attrs.define
 class ControlParts:
-    """The parts of a control process, apart from sockets.
+    """A control process without its sockets.
 
-    :param row: what the process says of itself.
-    :param platform: the platform's services.
+    :param row: member row of the process.
+    :param platform: client for the platform's services.
     :param peers: sends frames to other members.
     :param clocks: the clocks.
-    :param rng: seeded generator.
+    :param rng: seeded random generator.
+    :param poll_interval_s: seconds between two reads of the journal.
+    :param drain_grace_s: seconds that a leaving VM may drain.
     """
 
     row: MemberRow
@@ -84,9 +86,9 @@
     passes: int = 0
     pass_cpu_s: float = 0.0
     stopping: bool = False
-    _saved: int = 0
-    _sweep_at: float = 0.0
-    _tasks_at: float = 0.0
+    _last_snapshot_number: int = 0
+    _next_sweep_at: float = 0.0
+    _next_task_list_at: float = 0.0
     _listed_tasks: dict[str, ListedTask] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
@@ -109,31 +111,31 @@
         )
 
     def handle_frame(self, frame: t.Any) -> None:
-        """Take in a frame of another member.
+        """Handle a frame from another member.
 
         :param frame: the frame.
         """
         self.node.handle_frame(frame)
 
     async def run(self) -> None:
-        """Keep the pools in line until cancelled."""
+        """Run reconciliation passes until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.node.run)
             while not self.node.loaded:
                 await anyio.sleep(self.poll_interval_s / 10)
             while True:
-                await self._run_pass_safely()
+                await self._try_run_pass()
                 jitter = 0.8 + 0.4 * self.rng.random()
                 await anyio.sleep(defaults.PASS_INTERVAL_S * jitter)
 
-    async def _run_pass_safely(self) -> None:
+    async def _try_run_pass(self) -> None:
         try:
             await self.run_pass()
         except PlatformUnavailableError as error:
             _LOG.warning("pass-failed", reason=str(error))
 
     async def run_pass(self) -> None:
-        """Look at the owned pools once and take the steps that are due.
+        """Run one reconciliation pass over the owned pools.
 
         :raises PlatformUnavailableError: when the platform does not answer.
         """
@@ -141,64 +143,64 @@
         vm_list = await self.platform.list_vms()
         self.observer.take(vm_list, self.node.state.vms.keys(), asked_at)
         owned = self.list_owned_pools()
-        await self._read_tasks(owned)
+        await self._refresh_tasks(owned)
         started = time.process_time()
-        view = self.look()
+        view = self.build_view()
         pools = self.selector.choose(owned, view)
         steps = plan_pass(pools, view, self._listed_tasks)
         self.pass_cpu_s += time.process_time() - started
         self.passes += 1
-        await self._act(steps)
+        await self._apply_steps(steps)
         await self._save_snapshot()
         await self._sweep()
 
     async def _sweep(self) -> None:
         now = self.node.now()
-        if now < self._sweep_at or not self._owns(RETENTION_KEY):
+        if now < self._next_sweep_at or not self._owns(RETENTION_KEY):
             return
-        self._sweep_at = now + defaults.SWEEP_INTERVAL_S
+        self._next_sweep_at = now + defaults.SWEEP_INTERVAL_S
         await self.sweeper.sweep_claims(self.clocks.read_wall())
         await self.sweeper.sweep_members(self.node.membership, self.node.now())
 
     def _owns(self, key: str) -> bool:
-        return pick_owner(key, self._list_controls()) == self.node.name
+        return pick_owner(key, self._list_active_controls()) == self.node.name
 
-    def _list_controls(self) -> list[str]:
+    def _list_active_controls(self) -> list[str]:
         live = self.node.membership.list_live(self.node.now(), CONTROL_ROLE)
         return [row.name for row in live if not row.stopping]
 
-    async def _read_tasks(self, owned: t.Sequence[str]) -> None:
+    async def _refresh_tasks(self, owned: t.Sequence[str]) -> None:
         attempts = [
             attempt
             for pool in owned
             for attempt in self.node.state.attempts_in.get(pool, {}).values()
         ]
         now = self.node.now()
-        awaited = any(
+        change_expected = any(
             attempt.stopping or attempt.attempt not in self._listed_tasks
             for attempt in attempts
         )
-        if not attempts or (now < self._tasks_at and not awaited):
+        if not attempts or (now < self._next_task_list_at and not change_expected):
             return
-        self._tasks_at = now + defaults.TASK_LIST_INTERVAL_S
+        self._next_task_list_at = now + defaults.TASK_LIST_INTERVAL_S
         listed = await self.platform.list_tasks()
         self._listed_tasks = {task.attempt: task for task in listed}
 
     def list_owned_pools(self) -> list[str]:
-        """List the pools that this control looks after."""
-        return list_owned(self.node.state, self.node.name, self._list_controls())
+        """List the pools that this control process owns."""
+        return list_owned(self.node.state, self.node.name, self._list_active_controls())
 
-    def look(self) -> View:
-        """Build the view that a pass looks at."""
+    def build_view(self) -> View:
+        """Build the view on which a reconciliation pass decides."""
         now = self.node.now()
         live = self.node.membership.list_live(now, ENTRY_ROLE)
         lapsed = self.node.membership.list_lapsed(now, ENTRY_ROLE)
         in_flight: collections.Counter[str] = collections.Counter()
         for row in live:
             in_flight.update(row.draining)
-        # a minority that has lapsed may be dead; a majority rather means that
-        # we are the ones who are cut off
-        cautious = len(lapsed) > len(live) or self.node.store_age() > STORE_SILENT_S
+        # a minority of lapsed entries may be down; if the majority has lapsed,
+        # this process is more likely the one that is partitioned
+        cautious = len(lapsed) > len(live) or self.node.store_age() > MAX_STORE_AGE_S
         return View(
             state=self.node.state,
             observation=self.observer.observe(now),
@@ -211,11 +213,12 @@
             drain_grace_s=self.drain_grace_s,
         )
 
-    async def _act(self, steps: t.Sequence[Step]) -> None:
+    async def _apply_steps(self, steps: t.Sequence[Step]) -> None:
         for step in steps:
             self.reports[step.pool] = tuple(step.reports)
-        # orders are due on the state as it stands, so they come first
-        await self._carry_out([order for step in steps for order in step.orders])
+        # orders follow from the current state, so they are sent before new
+        # events are appended
+        await self._send_orders([order for step in steps for order in step.orders])
         events: list[Event] = []
         pools = []
         for step in steps:
@@ -230,37 +233,35 @@
             self.conflicts += 1
             await self.node.catch_up()
 
-    async def _carry_out(self, orders: t.Sequence[Order]) -> None:
-        limiter = anyio.CapacityLimiter(ORDERS_AT_ONCE)
+    async def _send_orders(self, orders: t.Sequence[Order]) -> None:
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_ORDERS)
         async with anyio.create_task_group() as group:
             for order in orders:
-                group.start_soon(self._carry_out_one, order, limiter)
+                group.start_soon(self._send_order, order, limiter)
 
-    async def _carry_out_one(
-        self, order: Order, limiter: anyio.CapacityLimiter
-    ) -> None:
+    async def _send_order(self, order: Order, limiter: anyio.CapacityLimiter) -> None:
         async with limiter:
             try:
-                await _ORDERS[type(order)](self.platform, order)
+                await _ORDER_SENDERS[type(order)](self.platform, order)
             except PlatformUnavailableError as error:
-                # it is repeated in the next pass
+                # the next pass repeats the order
                 _LOG.warning("order-failed", order=repr(order), reason=str(error))
 
     async def _save_snapshot(self) -> None:
         state = self.node.state
-        due = state.sequence // defaults.SNAPSHOT_EVERY_ENTRIES
-        if not due or due == self._saved:
+        snapshot_number = state.sequence // defaults.SNAPSHOT_EVERY_ENTRIES
+        if not snapshot_number or snapshot_number == self._last_snapshot_number:
             return
         if self._owns(SNAPSHOT_KEY):
             await self.node.journal.save_snapshot(state)
-        self._saved = due
+        self._last_snapshot_number = snapshot_number
 
     def is_ready(self) -> bool:
-        """Tell whether it has loaded the state."""
+        """Tell whether the state is loaded and no planned stop is under way."""
         return self.node.loaded and not self.stopping
 
     def describe(self) -> dict[str, t.Any]:
-        """Describe the process as JSON, with what it cannot bring in line."""
+        """Describe the process as JSON, with what it cannot reconcile."""
         described = describe_node(self.node, self.metrics, self.stopping)
         described["pools"] = self.list_owned_pools()
         described["reports"] = [
@@ -276,61 +277,61 @@
         return described
 
 
-async def _carry_out_power(platform: Platform, order: t.Any) -> None:
+async def _send_power_order(platform: Platform, order: t.Any) -> None:
     await platform.act_on_vm(order.vm, order.action, order.action_id)
 
 
-async def _carry_out_start(platform: Platform, order: t.Any) -> None:
+async def _send_start_order(platform: Platform, order: t.Any) -> None:
     await platform.start_task(order)
 
 
-async def _carry_out_stop(platform: Platform, order: t.Any) -> None:
+async def _send_stop_order(platform: Platform, order: t.Any) -> None:
     await platform.stop_task(order.attempt)
 
 
-_ORDERS: dict[type, t.Callable[[Platform, t.Any], t.Awaitable[None]]] = {
-    PowerOrder: _carry_out_power,
-    StartTask: _carry_out_start,
-    StopOrder: _carry_out_stop,
+_ORDER_SENDERS: dict[type, t.Callable[[Platform, t.Any], t.Awaitable[None]]] = {
+    PowerOrder: _send_power_order,
+    StartTask: _send_start_order,
+    StopOrder: _send_stop_order,
 }
 
 
 @attrs.define
-class ControlFront:
-    """ASGI application of a control: health, metrics and status.
+class ControlHttpApp:
+    """ASGI application of a control process: health, metrics and status.
 
-    :param parts: the process.
+    :param process: the control process; 503 is answered until it is set.
     """
 
-    parts: ControlParts | None = None
+    process: ControlParts | None = None
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one HTTP request."""
         if scope["type"] != "http":
             return
         route = _ROUTES.get(scope["path"])
-        if route is None or self.parts is None:
+        if route is None or self.process is None:
             await send_json(send, 404 if route is None else 503, {})
         else:
-            await route(self.parts, send)
+            await route(self.process, send)
 
 
-async def _serve_live(parts: ControlParts, send: Send) -> None:
+async def _serve_live(process: ControlParts, send: Send) -> None:
     await send_json(send, 200, {"live": True})
 
 
-async def _serve_ready(parts: ControlParts, send: Send) -> None:
-    ready = parts.is_ready()
+async def _serve_ready(process: ControlParts, send: Send) -> None:
+    ready = process.is_ready()
     await send_json(send, 200 if ready else 503, {"ready": ready})
 
 
-async def _serve_metrics(parts: ControlParts, send: Send) -> None:
+async def _serve_metrics(process: ControlParts, send: Send) -> None:
     headers = [("Content-Type", "text/plain; version=0.0.4")]
-    await send_answer(send, 200, parts.metrics.render(), headers)
+    await send_answer(send, 200, process.metrics.render(), headers)
 
 
-async def _serve_status(parts: ControlParts, send: Send) -> None:
-    await send_json(send, 200, parts.describe())
+async def _serve_status(process: ControlParts, send: Send) -> None:
+    await send_json(send, 200, process.describe())
 
 
 _ROUTES: dict[str, t.Callable[[ControlParts, Send], t.Awaitable[None]]] = {
@@ -348,22 +349,22 @@
     clocks: Clocks | None = None,
     task_status: anyio.abc.TaskStatus[t.Any] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run a control process until it is asked to stop.
+    """Run a control process until a stop is requested.
 
-    :param settings: its settings.
-    :param stop: set to ask for a planned stop.
-    :param clocks: the clocks, those of the system by default.
+    :param settings: settings of the process.
+    :param stop: set to request a planned stop.
+    :param clocks: the clocks; those of the system by default.
     """
     rng = random.Random()
     platform = PlatformClient(settings.platform)
     hub = PeerHub(settings.peer)
-    front = ControlFront()
+    front = ControlHttpApp()
     async with anyio.create_task_group() as group:
         peer = await group.start(hub.run)
         server = HttpServer(front, settings.http, settings.stop_grace_s)
         http = await group.start(server.run)
-        row = build_row(settings, CONTROL_ROLE, peer, http, rng)
-        parts = ControlParts(
+        row = build_member_row(settings, CONTROL_ROLE, peer, http, rng)
+        process = ControlParts(
             row,
             platform,
             hub,
@@ -372,20 +373,20 @@
             settings.poll_interval_s,
             settings.drain_grace_s,
         )
-        hub.on_frame = parts.handle_frame
-        parts.metrics.gauges.update(
+        hub.on_frame = process.handle_frame
+        process.metrics.gauges.update(
             peer_bytes=lambda: hub.bytes_in + hub.bytes_out,
             platform_bytes=lambda: platform.bytes_moved,
         )
-        front.parts = parts
-        group.start_soon(parts.run)
+        front.process = process
+        group.start_soon(process.run)
         _LOG.info("started", http=str(http), peer=str(peer))
         task_status.started(http)
         await stop.wait()
-        parts.stopping = True
-        parts.node.mark_stopping()
+        process.stopping = True
+        process.node.mark_stopping()
         server.stop()
-        await parts.node.leave()
+        await process.node.leave()
         group.cancel_scope.cancel()
     await platform.aclose()
     _LOG.info("stopped")
--- a/src/onyxgap/daemons/entry.py
+++ b/src/onyxgap/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry process: callers' requests on one side, targets on the other."""
+"""Entry process: accepts requests from callers and sends them to targets on VMs."""
 
 import contextlib
 import random
@@ -35,23 +35,24 @@
 from ..wire.peer import ttypes
 
 TICK_S = 0.05
-SETTLE_ON_STOP_S = 5.0
-_TAKES_NO_WORK = (VmState.DRAINING, VmState.QUARANTINED)
+CLAIM_SETTLE_TIMEOUT_S = 5.0
+_DRAINING_STATES = (VmState.DRAINING, VmState.QUARANTINED)
 _LOG = structlog.get_logger()
 
 
 @attrs.define
 class EntryParts:
-    """The parts of an entry process, apart from sockets.
+    """An entry process without its sockets.
 
     Tests build it with fakes in place of the platform, peers and targets.
 
-    :param row: what the process says of itself.
-    :param platform: the platform's services.
+    :param row: member row of the process.
+    :param platform: client for the platform's services.
     :param peers: sends frames to other members.
-    :param client: carries out attempts.
+    :param client: sends attempts to targets.
     :param clocks: the clocks.
-    :param rng: seeded generator.
+    :param rng: seeded random generator.
+    :param poll_interval_s: seconds between two reads of the journal.
     """
 
     row: MemberRow
@@ -67,7 +68,7 @@
     pipe: RequestPipe = attrs.field(init=False)
     metrics: Metrics = attrs.field(factory=Metrics)
     stopping: bool = False
-    _busy: anyio.Event = attrs.field(factory=anyio.Event)
+    _broker_active: anyio.Event = attrs.field(factory=anyio.Event)
 
     def __attrs_post_init__(self) -> None:
         self.node = Node(
@@ -80,7 +81,7 @@
         )
         link = NodeSlotLink(self.node)
         self.broker = SlotBroker(self.node.name, link, self.rng)
-        self.broker.on_busy = lambda: self._busy.set()
+        self.broker.on_busy = lambda: self._broker_active.set()
         self.claims = ClaimKeeper(self.platform)
         self.pipe = RequestPipe(
             self.node, self.broker, self.claims, self.client, self.clocks, self.rng
@@ -106,14 +107,14 @@
     def _count_draining(self) -> dict[str, int]:
         counts = {}
         for name, record in self.node.state.vms.items():
-            if record.state in _TAKES_NO_WORK:
+            if record.state in _DRAINING_STATES:
                 in_flight = self.broker.count_in_flight(name)
                 if in_flight:
                     counts[name] = in_flight
         return counts
 
     def handle_frame(self, frame: ttypes.Frame) -> None:
-        """Take in a frame of another member.
+        """Handle a frame from another member.
 
         :param frame: the frame.
         """
@@ -124,42 +125,43 @@
             _LOG.warning("bad-frame", sender=frame.sender, reason=str(error))
 
     async def run(self) -> None:
-        """Run everything that goes on beside requests, until cancelled."""
+        """Run the background tasks until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.node.run)
             group.start_soon(self.claims.run)
-            group.start_soon(self._tick)
+            group.start_soon(self._tick_broker)
 
-    async def _tick(self) -> None:
+    async def _tick_broker(self) -> None:
         while True:
             if not self.broker.is_busy():
-                self._busy = anyio.Event()
-                await self._busy.wait()
+                self._broker_active = anyio.Event()
+                await self._broker_active.wait()
             await anyio.sleep(TICK_S)
             self.broker.tick(self.node.now())
             if not self.node.may_serve():
                 self.broker.refuse_all(self.node.now())
 
     async def drain(self, grace_s: float) -> None:
-        """Wait until no request is in flight and every claim is settled.
+        """Wait for requests in flight and unsettled claims, then leave the deployment.
 
-        :param grace_s: longest wait, in seconds.
+        :param grace_s: longest wait for requests, in seconds; claims get
+            ``CLAIM_SETTLE_TIMEOUT_S`` more.
         """
         with anyio.move_on_after(grace_s):
             while self.pipe.in_flight:
                 await anyio.sleep(TICK_S)
-        with anyio.move_on_after(SETTLE_ON_STOP_S):
+        with anyio.move_on_after(CLAIM_SETTLE_TIMEOUT_S):
             while self.claims.unsettled:
                 await self.claims.settle_once()
         await self.node.leave()
 
     @property
     def version(self) -> int:
-        """Manifest version in force here."""
+        """Version of the manifest that this process has applied."""
         return self.node.state.version
 
     def list_targets(self) -> list[tuple[str, str]]:
-        """List each serving VM with the pool that this entry knows it in."""
+        """List each serving VM with its pool, as known to this process."""
         return [
             (name, record.pool)
             for name, record in self.node.state.vms.items()
@@ -167,15 +169,15 @@
         ]
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send requests here."""
+        """Tell whether the load balancer may send requests here."""
         return self.node.may_serve() and not self.stopping
 
     def render_metrics(self) -> bytes:
-        """Render metrics in the usual text format."""
+        """Render the metrics in the Prometheus text format."""
         return self.metrics.render()
 
     def count_answer(self, answer: Answer, service: str, job: str, took: float) -> None:
-        """Count one finished request."""
+        """Count one answered request."""
         reason = answer.reason.value if answer.reason else ""
         self.metrics.count(answer.verdict.value, reason, service, took)
 
@@ -187,8 +189,8 @@
 def describe_node(node: Node, metrics: Metrics, stopping: bool) -> dict[str, t.Any]:
     """Describe a process for its status path.
 
-    :param node: its node.
-    :param metrics: its metrics.
+    :param node: node of the process.
+    :param metrics: metrics of the process.
     :param stopping: whether a planned stop is under way.
     """
     return {
@@ -203,16 +205,16 @@
     }
 
 
-def build_row(
+def build_member_row(
     settings: Settings, role: str, peer: object, http: object, rng: random.Random
 ) -> MemberRow:
-    """Build the row that a process shows of itself.
+    """Build the member row of a process.
 
-    :param settings: its settings.
+    :param settings: settings of the process.
     :param role: ``entry`` or ``control``.
-    :param peer: its bound peer address.
-    :param http: its bound HTTP address.
-    :param rng: generator for the incarnation.
+    :param peer: bound peer address.
+    :param http: bound HTTP address.
+    :param rng: random generator for the incarnation token.
     """
     return MemberRow(
         name=settings.member,
@@ -230,10 +232,10 @@
     *,
     task_status: anyio.abc.TaskStatus[t.Any] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run an entry process until it is asked to stop.
+    """Run an entry process until a stop is requested.
 
-    :param settings: its settings.
-    :param stop: set to ask for a planned stop.
+    :param settings: settings of the process.
+    :param stop: set to request a planned stop.
     """
     rng = random.Random()
     platform = PlatformClient(settings.platform)
@@ -241,25 +243,27 @@
     client = HttpTargetClient()
     async with anyio.create_task_group() as group:
         peer = await group.start(hub.run)
-        late = _LateFront()
-        server = HttpServer(late, settings.http, settings.stop_grace_s)
+        deferred = _DeferredFront()
+        server = HttpServer(deferred, settings.http, settings.stop_grace_s)
         http = await group.start(server.run)
-        row = build_row(settings, ENTRY_ROLE, peer, http, rng)
-        parts = EntryParts(
+        row = build_member_row(settings, ENTRY_ROLE, peer, http, rng)
+        process = EntryParts(
             row, platform, hub, client, SystemClocks(), rng, settings.poll_interval_s
         )
-        hub.on_frame = parts.handle_frame
-        parts.metrics.gauges.update(
+        hub.on_frame = process.handle_frame
+        process.metrics.gauges.update(
             peer_bytes=lambda: hub.bytes_in + hub.bytes_out,
             platform_bytes=lambda: platform.bytes_moved,
         )
-        late.front = HttpFront(parts.pipe, parts, lambda: f"{rng.getrandbits(96):024x}")
-        group.start_soon(parts.run)
+        deferred.front = HttpFront(
+            process.pipe, process, lambda: f"{rng.getrandbits(96):024x}"
+        )
+        group.start_soon(process.run)
         group.start_soon(client.prune)
         _LOG.info("started", http=str(http), peer=str(peer))
         task_status.started(http)
         await stop.wait()
-        await _stop_gracefully(parts, server, settings)
+        await _stop_gracefully(process, server, settings)
         group.cancel_scope.cancel()
     with contextlib.suppress(Exception):
         await client.aclose()
@@ -268,19 +272,24 @@
 
 
 async def _stop_gracefully(
-    parts: EntryParts, server: HttpServer, settings: Settings
+    process: EntryParts, server: HttpServer, settings: Settings
 ) -> None:
-    _LOG.info("stopping", in_flight=parts.pipe.in_flight)
-    parts.stopping = True
-    parts.node.mark_stopping()
-    # the balancer needs a moment to see that we are not ready
+    _LOG.info("stopping", in_flight=process.pipe.in_flight)
+    process.stopping = True
+    process.node.mark_stopping()
+    # keep serving until the load balancer has seen that readiness fails
     await anyio.sleep(settings.lame_duck_s)
     server.stop()
-    await parts.drain(settings.stop_grace_s)
+    await process.drain(settings.stop_grace_s)
 
 
 @attrs.define
-class _LateFront:
+class _DeferredFront:
+    """Holds requests until the front is set.
+
+    The server is bound first, since the member row contains its address.
+    """
+
     front: HttpFront | None = None
 
     async def __call__(self, scope: t.Any, receive: t.Any, send: t.Any) -> None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Duties of a control apart from planning: snapshots and retention."""
+"""Tests of retention, membership, freshness and rendezvous hashing."""
 
 import random
 
@@ -16,11 +16,11 @@
 from onyxgap.standins.virtual import run_virtually
 
 
-def build_row(name: str, incarnation: str = "1", sequence: int = 0) -> MemberRow:
+def build_member_row(name: str, incarnation: str = "1", sequence: int = 0) -> MemberRow:
     return MemberRow(name, "entry", name, incarnation, sequence)
 
 
-def test_old_claims_are_swept_page_by_page() -> None:
+def test_expired_claims_are_removed_page_by_page() -> None:
     async def run() -> list[str]:
         platform = MemoryPlatform(random.Random(1))
         for number in range(450):
@@ -35,13 +35,15 @@
     assert len(run_virtually(run)) == 150
 
 
-def test_row_of_a_dead_member_is_removed_and_a_live_one_stays() -> None:
+def test_row_of_a_dead_member_is_removed_and_of_a_live_one_kept() -> None:
     async def run() -> list[str]:
         platform = MemoryPlatform(random.Random(1))
         membership = Membership("me")
         for name in ("me", "dead", "live"):
             platform.write([Put(f"member/{name}", {"name": name}, 0)])
-        membership.observe([(build_row(n), 1) for n in ("me", "dead", "live")], 0.0)
+        membership.observe(
+            [(build_member_row(n), 1) for n in ("me", "dead", "live")], 0.0
+        )
         membership.hear("live", 1, {}, False, 650.0)
         sweeper = Sweeper(platform)
         await sweeper.sweep_members(membership, 700.0)
@@ -50,29 +52,29 @@
     assert run_virtually(run) == ["member/live", "member/me"]
 
 
-def test_member_lapses_by_silence_on_our_clock_alone() -> None:
+def test_member_lapses_by_silence_on_the_local_clock_only() -> None:
     membership = Membership("me", lapse_s=6.0)
-    rows = [(build_row("me"), 1), (build_row("other"), 1)]
+    rows = [(build_member_row("me"), 1), (build_member_row("other"), 1)]
     membership.observe(rows, 0.0)
     assert [row.name for row in membership.list_live(6.0)] == ["me", "other"]
     assert [row.name for row in membership.list_lapsed(6.1)] == ["other"]
-    membership.observe([rows[0], (build_row("other"), 2)], 7.0)
+    membership.observe([rows[0], (build_member_row("other"), 2)], 7.0)
     assert [row.name for row in membership.list_live(13.0)] == ["me", "other"]
     assert membership.hear("other", 9, {"vm": 1}, False, 20.0)
     (other,) = [row for row in membership.list_live(25.0) if row.name == "other"]
     assert (other.sequence, other.draining) == (9, {"vm": 1})
 
 
-def test_restarted_member_forgets_what_it_had_acknowledged() -> None:
+def test_restart_of_a_member_resets_its_acknowledged_sequence() -> None:
     membership = Membership("me")
-    membership.observe([(build_row("other", "1"), 4)], 0.0)
+    membership.observe([(build_member_row("other", "1"), 4)], 0.0)
     membership.hear("other", 50, {}, False, 1.0)
-    membership.observe([(build_row("other", "2", 3), 5)], 2.0)
+    membership.observe([(build_member_row("other", "2", 3), 5)], 2.0)
     (other,) = membership.list_known()
     assert other.sequence == 3
 
 
-def test_freshness_needs_the_store_or_a_majority() -> None:
+def test_freshness_needs_the_store_or_a_majority_of_members() -> None:
     freshness = Freshness(limit_s=2.0)
     others = ["a", "b", "c", "d"]
     assert not freshness.is_fresh(0.0, others)
@@ -84,11 +86,12 @@
     freshness.hear_peer("b", 3.5)
     assert freshness.is_fresh(4.5, others)
     assert not freshness.is_fresh(5.1, others)
-    # the only process cannot tell an outage from a cut: it goes on
+    # a process without peers cannot tell an outage of the store from a network
+    # partition, so it goes on serving
     assert freshness.is_fresh(100.0, [])
 
 
-def test_ownership_moves_only_from_the_one_that_left() -> None:
+def test_only_keys_of_a_removed_member_change_their_owner() -> None:
     names = [f"entry-{number}" for number in range(9)]
     keys = [f"service-{number}" for number in range(400)]
     before = {key: pick_owner(key, names) for key in keys}
@@ -99,7 +102,7 @@
     assert rank_by_hash("k", names)[0] == pick_owner("k", names)
 
 
-def test_platform_in_memory_runs_in_virtual_time() -> None:
+def test_sleep_advances_virtual_time() -> None:
     async def run() -> float:
         await anyio.sleep(3600)
         return anyio.current_time()
