--- a/src/onyxgap/daemons/fleet.py
+++ b/src/onyxgap/daemons/fleet.py
@@ -1,4 +1,4 @@
-"""Holds the fleet duty: maintains and moves VMs, one holder at a time."""
+"""Fleet controller: plans VM maintenance and moves, on one node at a time."""
 
 import random
 import typing as t
@@ -38,32 +38,33 @@
 from .rows import SkippedRows
 from .rows import decode_rows
 
-TICK_S = 0.2
-"""Orders wait at most this long; reports wake the loop earlier."""
-LIST_S = 0.5
-"""Pause between two lists of VMs; a move or maintenance takes 1.5 s or more."""
-HOLDER_MARGIN_S = 0.7
-"""Added to the pause between two holders, for calls still under way."""
-SEND_WITHIN_S = 0.8
-"""An order is sent within this time of the write that permits it, or not at all:
-a process that stood still meanwhile may have a successor."""
+MAX_PASS_INTERVAL_S = 0.2
+"""Longest wait for the next planning pass; pool reports start one earlier."""
+VM_LIST_INTERVAL_S = 0.5
+"""Pause between two reads of the VM list; a move or maintenance takes 1.5 s or more."""
+HOLDER_PAUSE_MARGIN_S = 0.7
+"""Added to the pause between orders of two controllers for a VM: calls in flight."""
+MAX_SEND_DELAY_S = 0.8
+"""Longest time between the start of the write that permits an order and its sending.
+After it, the order is not sent: a process that was suspended may have a successor."""
 
 _LOG = structlog.get_logger()
 
 
 @attrs.define(eq=False)
 class FleetHolder(OwnedShard):
-    """Holder of the fleet duty, from its claim to its loss or release.
+    """Fleet controller on this node, from the claim of the role to its loss or release.
 
-    :param cloud: calls about VMs.
+    :param cloud: client for calls about VMs.
     :param store: the store.
-    :param clocks: the process's clocks.
+    :param clocks: clocks of the process.
     :param limits: time limits of the deployment.
-    :param routes: the configuration in force.
-    :param waves: waves that the operator asked for.
-    :param encode_status: gives the row that tells how far a wave is.
-    :param rng: spreads retries.
-    :param sizer: chooses the sizes of pools.
+    :param routes: route table with the configuration in force.
+    :param waves: maintenance waves that the operator requested, by number.
+    :param encode_wave_status: encodes the status row of a maintenance wave, given its
+        number and whether it is complete.
+    :param rng: adds jitter to retries.
+    :param sizer: chooses the sizes of the pools.
     :param skipped: number of rows that could not be decoded, by table.
     """
 
@@ -73,15 +74,15 @@
     limits: TimeLimits
     routes: RouteTable
     waves: t.Mapping[int, Wave]
-    encode_status: t.Callable[[int, bool], tuple[RowId, bytes]]
+    encode_wave_status: t.Callable[[int, bool], tuple[RowId, bytes]]
     rng: random.Random
     sizer: Sizer
     skipped: SkippedRows = attrs.field(factory=SkippedRows)
     planner: FleetPlanner = attrs.field(init=False)
-    _earlier: FleetRow = attrs.field(factory=FleetRow)
-    _stored: bytes = b""
-    _stored_turns: bytes = b""
-    _reported: dict[int, bool] = attrs.field(factory=dict)
+    _previous_row: FleetRow = attrs.field(factory=FleetRow)
+    _stored_row: bytes = b""
+    _stored_forecast: bytes = b""
+    _written_statuses: dict[int, bool] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
         self.planner = FleetPlanner(self.limits.upkeep_s, self.epoch)
@@ -90,68 +91,69 @@
         return self.clocks.read_monotonic()
 
     async def run(self) -> None:
-        """Hold the duty until it is released.
+        """Run the fleet controller until the role is released.
 
-        :raises OwnershipLostError: when another node has claimed it.
+        :raises OwnershipLostError: when another node has claimed the role.
         """
-        await self._own(self._load, self._work)
+        await self._own(self._load, self._run_loops)
 
-    async def _work(self, group: anyio.abc.TaskGroup) -> None:
+    async def _run_loops(self, group: anyio.abc.TaskGroup) -> None:
         reports = Follower(
             self.store,
             tables.REPORT_TABLE,
-            self._list_parts,
-            self._take_reports,
+            self._list_report_partitions,
+            self._apply_reports,
             self.rng,
         )
         group.start_soon(reports.run)
-        group.start_soon(self._list_forever)
+        group.start_soon(self._poll_vm_list)
         await self._plan_until_released()
 
     async def _load(self) -> None:
         claimed_at = self._now()
-        wanted = [
+        partitions = [
             (tables.FLEET_TABLE, tables.FLEET_SHARD),
             (tables.TURNS_TABLE, tables.FLEET_SHARD),
         ]
-        page, turns = await read_at_once(self.store, wanted)
+        fleet_page, forecast_page = await read_at_once(self.store, partitions)
         for _, fleet in decode_rows(
-            page.rows,
+            fleet_page.rows,
             lambda row: decode_fleet_row(row.value),
             self.skipped,
             "fleet row skipped",
         ):
-            self._earlier = fleet or self._earlier
-        # an earlier holder's last call about a VM must be over before ours
-        pause_s = self._get_pause_s()
-        self._take_inputs()
-        self.planner.restore(self._earlier, claimed_at, pause_s)
-        for row in turns.rows:
-            self._restore_turns(row)
+            self._previous_row = fleet or self._previous_row
+        # the last call of a previous controller about a VM must have ended before
+        # this one sends an order about the VM
+        pause_s = self._get_order_pause_s()
+        self._update_inputs()
+        self.planner.restore(self._previous_row, claimed_at, pause_s)
+        for row in forecast_page.rows:
+            self._restore_forecast(row)
         _LOG.info(
-            "fleet duty held",
+            "fleet controller role acquired",
             epoch=self.epoch,
             pause_s=pause_s,
-            paused=sorted(self._earlier.ordered),
+            paused=sorted(self._previous_row.ordered),
         )
 
-    def _get_pause_s(self) -> float:
-        return self.limits.holder_pause_s + HOLDER_MARGIN_S
+    def _get_order_pause_s(self) -> float:
+        return self.limits.holder_pause_s + HOLDER_PAUSE_MARGIN_S
 
     def _get_wall_offset(self) -> float:
         return self.clocks.read_wall() - self._now()
 
-    def _restore_turns(self, row: StoredRow) -> None:
+    def _restore_forecast(self, row: StoredRow) -> None:
         try:
             self.sizer.restore(orjson.loads(row.value), self._get_wall_offset())
         except MALFORMED_ERRORS as error:
-            _LOG.warning("turns skipped", reason=repr(error))
+            _LOG.warning("burst forecast not restored", reason=repr(error))
 
-    def _list_parts(self) -> t.Sequence[str]:
+    def _list_report_partitions(self) -> t.Sequence[str]:
         configuration = self.routes.configuration
         return configuration.list_shards() if configuration else ()
 
-    def _take_reports(self, rows: t.Sequence[StoredRow], whole: bool) -> None:
+    def _apply_reports(self, rows: t.Sequence[StoredRow], snapshot: bool) -> None:
         for _, report in decode_rows(
             rows, lambda row: decode_report(row.value), self.skipped, "report skipped"
         ):
@@ -161,7 +163,7 @@
         if rows:
             self.wake()
 
-    async def _list_forever(self) -> None:
+    async def _poll_vm_list(self) -> None:
         while True:
             sent_at = self._now()
             try:
@@ -171,9 +173,9 @@
             else:
                 self.planner.apply_list(vms, sent_at)
                 self.wake()
-            await anyio.sleep(LIST_S)
+            await anyio.sleep(VM_LIST_INTERVAL_S)
 
-    def _take_inputs(self) -> None:
+    def _update_inputs(self) -> None:
         configuration = self.routes.configuration
         if configuration is not None:
             self.planner.shards = frozenset(configuration.list_shards())
@@ -184,19 +186,19 @@
         for number, wave in self.waves.items():
             if number not in self.planner.waves:
                 self.planner.add_wave(wave, self._now())
-                self.planner.restore_done(self._earlier)
+                self.planner.restore_done(self._previous_row)
 
     async def _plan_until_released(self) -> None:
         while not self.releasing:
-            await self._wait_for_wake(TICK_S)
-            self._take_inputs()
+            await self._wait_for_wake(MAX_PASS_INTERVAL_S)
+            self._update_inputs()
             now = self._now()
             self.sizer.advance(now)
             self._choose_sizes(now)
-            await self._store(self.planner.plan(now))
-            await self._report_waves()
+            await self._store_and_send(self.planner.plan(now))
+            await self._write_wave_statuses()
         await self.writer.release()
-        _LOG.info("fleet duty released", epoch=self.epoch)
+        _LOG.info("fleet controller role released", epoch=self.epoch)
 
     def _choose_sizes(self, now: float) -> None:
         sizes = self.sizer.choose_sizes(
@@ -216,58 +218,58 @@
         self.planner.sizes = sizes
         self.planner.busy = busy
 
-    async def _store(self, orders: t.Sequence[VmOrder]) -> None:
+    async def _store_and_send(self, orders: t.Sequence[VmOrder]) -> None:
         if self.writer.is_beat_due(self._now()):
-            # orders that are over ride on the renewal, not on writes of their own
-            self.planner.forget_orders(self._now() - self._get_pause_s())
+            # ended orders are removed with the renewal, which saves a write
+            self.planner.forget_orders(self._now() - self._get_order_pause_s())
         value = encode_fleet_row(self.planner.get_row())
-        # each order follows a write under the fence, also one that is sent again:
-        # a holder that stood still meanwhile must not send anything
-        changed = bool(orders) or value != self._stored
+        # every order, also a repeated one, is sent after a fenced write: a controller
+        # that was suspended and has a successor must not send orders
+        changed = bool(orders) or value != self._stored_row
         puts = {tables.get_fleet_row(): value} if changed else {}
         if not puts and not self.writer.is_beat_due(self._now()):
             return
         started = self.clocks.read_boot()
-        await self._write(puts)
-        self._stored = value
+        await self._write_rows(puts)
+        self._stored_row = value
         assert self._group is not None
         for order in orders:
-            self._group.start_soon(self._send, order, started)
+            self._group.start_soon(self._send_order, order, started)
 
-    async def _write(self, puts: dict[RowId, bytes]) -> None:
+    async def _write_rows(self, puts: dict[RowId, bytes]) -> None:
         now = self._now()
         if self.writer.is_beat_due(now):
             self.writer.put_beat(puts, now, {})
-            turns = orjson.dumps(self.sizer.export(self._get_wall_offset()))
-            if turns != self._stored_turns:
-                puts[tables.get_turns_row()] = self._stored_turns = turns
+            forecast = orjson.dumps(self.sizer.export(self._get_wall_offset()))
+            if forecast != self._stored_forecast:
+                puts[tables.get_turns_row()] = self._stored_forecast = forecast
         if puts:
             await self.writer.write(puts)
 
-    async def _send(self, order: VmOrder, permitted_at: float) -> None:
-        if self.clocks.read_boot() - permitted_at > SEND_WITHIN_S:
+    async def _send_order(self, order: VmOrder, permitted_at: float) -> None:
+        if self.clocks.read_boot() - permitted_at > MAX_SEND_DELAY_S:
             self.planner.apply_reply(order, VmReply.RETRY, self._now())
             return
         owner = self.writer.owner
         reply = await self.cloud.send(order, owner.boot, owner.epoch)
         if reply is VmReply.STALE_HOLDER:
-            raise OwnershipLostError("the platform knows a later holder")
+            raise OwnershipLostError("the platform has seen a newer fleet controller")
         self.planner.apply_reply(order, reply, self._now())
         self.wake()
 
-    async def _report_waves(self) -> None:
+    async def _write_wave_statuses(self) -> None:
         complete = set(self.planner.find_complete())
         for number in self.planner.waves:
             done = number in complete
-            if self._reported.get(number) is done:
+            if self._written_statuses.get(number) is done:
                 continue
-            row, value = self.encode_status(number, done)
+            row, value = self.encode_wave_status(number, done)
             outcome = await self.store.write(Batch({}, {row: value}))
             _LOG.info(
-                "wave reported",
+                "maintenance wave status sent to the store",
                 wave=number,
                 complete=done,
                 outcome=type(outcome).__name__,
             )
             if isinstance(outcome, Applied):
-                self._reported[number] = done
+                self._written_statuses[number] = done
