--- a/src/onyxgap/daemons/control.py
+++ b/src/onyxgap/daemons/control.py
@@ -66,7 +66,7 @@
     :param clocks: the clocks.
     :param rng: seeded random generator.
     :param poll_interval_s: seconds between two reads of the journal.
-    :param drain_grace_s: seconds that a leaving VM may drain.
+    :param drain_grace_s: longest time that a VM may drain, in seconds.
     """
 
     row: MemberRow
@@ -194,13 +194,13 @@
         """Build the view on which a reconciliation pass decides."""
         now = self.node.now()
         live = self.node.membership.list_live(now, ENTRY_ROLE)
-        lapsed = self.node.membership.list_lapsed(now, ENTRY_ROLE)
+        timed_out = self.node.membership.list_lapsed(now, ENTRY_ROLE)
         in_flight: collections.Counter[str] = collections.Counter()
         for row in live:
             in_flight.update(row.draining)
-        # a minority of lapsed entries may be down; if the majority has lapsed,
-        # this process is more likely the one that is partitioned
-        cautious = len(lapsed) > len(live) or self.node.store_age() > MAX_STORE_AGE_S
+        # a minority of entries that timed out may be down; if a majority has timed
+        # out, this process is more likely the one that is partitioned
+        cautious = len(timed_out) > len(live) or self.node.store_age() > MAX_STORE_AGE_S
         return View(
             state=self.node.state,
             observation=self.observer.observe(now),
--- a/src/onyxgap/daemons/entry.py
+++ b/src/onyxgap/daemons/entry.py
@@ -35,7 +35,7 @@
 from ..wire.peer import ttypes
 
 TICK_S = 0.05
-CLAIM_SETTLE_TIMEOUT_S = 5.0
+CLAIM_RESULT_TIMEOUT_S = 5.0
 _DRAINING_STATES = (VmState.DRAINING, VmState.QUARANTINED)
 _LOG = structlog.get_logger()
 
@@ -142,15 +142,15 @@
                 self.broker.refuse_all(self.node.now())
 
     async def drain(self, grace_s: float) -> None:
-        """Wait for requests in flight and unsettled claims, then leave the deployment.
+        """Wait for requests and for results of claims, then leave the deployment.
 
-        :param grace_s: longest wait for requests, in seconds; claims get
-            ``CLAIM_SETTLE_TIMEOUT_S`` more.
+        :param grace_s: longest wait for requests in flight, in seconds. Results of
+            claims that are not stored yet get ``CLAIM_RESULT_TIMEOUT_S`` more.
         """
         with anyio.move_on_after(grace_s):
             while self.pipe.in_flight:
                 await anyio.sleep(TICK_S)
-        with anyio.move_on_after(CLAIM_SETTLE_TIMEOUT_S):
+        with anyio.move_on_after(CLAIM_RESULT_TIMEOUT_S):
             while self.claims.unsettled:
                 await self.claims.settle_once()
         await self.node.leave()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -52,7 +52,7 @@
     assert run_virtually(run) == ["member/live", "member/me"]
 
 
-def test_member_lapses_by_silence_on_the_local_clock_only() -> None:
+def test_member_times_out_by_silence_on_the_local_clock_only() -> None:
     membership = Membership("me", lapse_s=6.0)
     rows = [(build_member_row("me"), 1), (build_member_row("other"), 1)]
     membership.observe(rows, 0.0)
