--- a/src/onyxgap/daemons/desk.py
+++ b/src/onyxgap/daemons/desk.py
@@ -183,7 +183,7 @@
         step = find_step_above(submission.steps, cap)
         if step is None:
             return None
-        reason = f"$.steps[{step}]: requests more resources than the cap of its tenant"
+        reason = f"$.steps[{step}]: asks for more than its tenant may have running"
         return SubmitResult(SubmitOutcome.ABOVE_CAP, reason)
 
     def _check_load(self, submission: Submission) -> SubmitResult | None:
@@ -202,9 +202,7 @@
         if overload is None:
             return None
         delay_s = overload.line.of_use_s
-        reason = (
-            f"queueing delay of {delay_s:.1f} s exceeds slack of {overload.use_s:.1f} s"
-        )
+        reason = f"{delay_s:.1f} s of work are waiting, {overload.use_s:.1f} s are left"
         return SubmitResult(SubmitOutcome.OVERLOADED, reason, overload.retry_after_s)
 
     async def _reject_unless_stored(
@@ -241,9 +239,7 @@
                 stored = None
             if stored is not None:
                 return _compare(stored, submission)
-        return SubmitResult(
-            SubmitOutcome.UNKNOWN, "the store did not confirm the write"
-        )
+        return SubmitResult(SubmitOutcome.UNKNOWN, "the write was not confirmed")
 
     async def _write_until_certain(self, batch: Batch) -> WriteOutcome:
         """Retry a conditional insert until its outcome is certain or time is up.
@@ -457,5 +453,5 @@
     if is_same_request(stored, submission):
         return SubmitResult(SubmitOutcome.ACCEPTED, "known")
     return SubmitResult(
-        SubmitOutcome.OTHER_REQUEST, "the job id is used by another request"
+        SubmitOutcome.OTHER_REQUEST, "the id stands for another request"
     )
--- a/src/onyxgap/daemons/passing_desk.py
+++ b/src/onyxgap/daemons/passing_desk.py
@@ -250,7 +250,7 @@
 def _merge_result(result: SubmitResult, answer: PassedAnswer | None) -> SubmitResult:
     """Merge the result so far with the answer of another node."""
     if answer is None:
-        reason = "another node did not answer"
+        reason = "another node gave no answer"
         return SubmitResult(SubmitOutcome.UNKNOWN, reason)
     outcome = join_outcomes(result.outcome, SubmitOutcome(answer.outcome))
     return SubmitResult(outcome, answer.reason, answer.retry_after_s)
--- a/src/onyxgap/jobs/desk.py
+++ b/src/onyxgap/jobs/desk.py
@@ -42,16 +42,16 @@
 class Unavailable(enum.Enum):
     """Why a request cannot be answered now; returned in place of a result."""
 
-    STORE = "store is not responding"
-    CONFIGURATION = "configuration is not loaded yet"
-    COUNT = "number of waiting jobs is not known on this node"
-    CONFIGURATION_AGE = "configuration may be outdated on this node"
+    STORE = "the store gives no answer"
+    CONFIGURATION = "no configuration yet"
+    COUNT = "how many jobs wait is not known here"
+    CONFIGURATION_AGE = "whether the configuration is the newest is not known here"
 
 
 class Denied(enum.Enum):
     """Why a caller may not have a result; returned in its place."""
 
-    OTHER_TENANT = "job belongs to another tenant"
+    OTHER_TENANT = "the job belongs to another tenant"
 
 
 class Desk(t.Protocol):
--- a/src/onyxgap/jobs/submissions.py
+++ b/src/onyxgap/jobs/submissions.py
@@ -33,7 +33,7 @@
         if not 0 <= earlier < number:
             yield Fault(
                 f"{path}.after",
-                f"{earlier} is not the index of an earlier step of {count}",
+                f"{earlier} is no earlier step of {count}",
             )
 
 
@@ -46,19 +46,15 @@
     """
     faults = []
     if len(submission.spec.encode()) > MAX_SPEC_BYTES:
-        faults.append(
-            Fault("$.spec", f"must not be longer than {MAX_SPEC_BYTES} bytes")
-        )
+        faults.append(Fault("$.spec", f"longer than {MAX_SPEC_BYTES} bytes"))
     if not 1 <= len(submission.steps) <= MAX_STEPS:
-        faults.append(Fault("$.steps", f"must contain 1 to {MAX_STEPS} steps"))
+        faults.append(Fault("$.steps", f"must be 1 to {MAX_STEPS} steps"))
     if not 0 <= submission.times <= MAX_OCCURRENCES:
-        faults.append(Fault("$.times", f"must be between 0 and {MAX_OCCURRENCES}"))
+        faults.append(Fault("$.times", f"must be 0 to {MAX_OCCURRENCES}"))
     for number, step in enumerate(submission.steps):
         faults += _check_step(number, step, len(submission.steps))
     if sum(step.count for step in submission.steps) > MAX_TASKS:
-        faults.append(
-            Fault("$.steps", f"must not have more than {MAX_TASKS} tasks in all")
-        )
+        faults.append(Fault("$.steps", f"more than {MAX_TASKS} tasks"))
     if faults:
         raise DocumentError(faults)
     return submission
