--- a/bench/shard.py
+++ b/bench/shard.py
@@ -105,7 +105,7 @@
     ]
 
     def plan() -> None:
-        planner.apply_list(listed, 1.0)
+        planner.apply_vm_list(listed, 1.0)
         planner.sizes = {"s": vms}
         planner.plan(2.0)
         planner.get_row()
--- a/bench/soak/platform.py
+++ b/bench/soak/platform.py
@@ -30,7 +30,7 @@
 from . import wire
 
 MAX_BODY_BYTES = 1_048_576
-SILENCE_S = 3.0
+OWNER_TIMEOUT_S = 3.0
 """Time for which a call without an answer is held open; all nodes give up before."""
 
 NO_LINGER = struct.pack("ii", 1, 0)
@@ -88,7 +88,7 @@
             reset_connection(send)
             return
         if answer is None:
-            await anyio.sleep(SILENCE_S)
+            await anyio.sleep(OWNER_TIMEOUT_S)
             answer = (500, {})
         await send_json(send, *answer)
 
--- a/bench/soak/processes.py
+++ b/bench/soak/processes.py
@@ -21,7 +21,7 @@
 from onyxgap.jobs.messages import JobState
 from onyxgap.jobs.messages import Submission
 from onyxgap.jobs.routing import Route
-from onyxgap.jobs.tenants import KeyFault
+from onyxgap.jobs.tenants import KeyRejection
 from onyxgap.settings import Address
 from onyxgap.standins.emulator.cloud import EmulatedCloudClient
 from onyxgap.standins.emulator.gate import NodeGate
@@ -255,14 +255,14 @@
 
     async def submit(
         self, route: Route, submission: Submission, key: str
-    ) -> SubmitOutcome | KeyFault | None:
+    ) -> SubmitOutcome | KeyRejection | None:
         """Hand a job in; ``None`` when the connection broke."""
         body = wire.write_job(submission)
         response = await self._call("POST", route, submission.job_id, key, body)
         if response is None:
             return None
         if response.status == 401:
-            return KeyFault.UNKNOWN
+            return KeyRejection.UNKNOWN
         return _OUTCOMES.get(response.status)
 
     async def get_state(self, route: Route, job_id: str, key: str) -> t.Any:
@@ -271,7 +271,7 @@
         if response is not None and response.status == 200:
             return JobState(orjson.loads(response.content)["state"])
         if response is not None and response.status == 401:
-            return KeyFault.UNKNOWN
+            return KeyRejection.UNKNOWN
         gone = response is not None and response.status == 410
         return None if gone else Unavailable.STORE
 
@@ -281,7 +281,7 @@
         if response is not None and response.status in (200, 410):
             return response.status == 200
         if response is not None and response.status == 401:
-            return KeyFault.UNKNOWN
+            return KeyRejection.UNKNOWN
         return Unavailable.STORE
 
     async def count_waiting(self, route: Route, key: str) -> int | None:
--- a/bench/soak/wire.py
+++ b/bench/soak/wire.py
@@ -41,7 +41,7 @@
     ReplyKind.STALE_RUN: (409, "old"),
     ReplyKind.TOO_LATE: (409, "late"),
     ReplyKind.NO_ROOM: (409, "room"),
-    ReplyKind.OTHER_LIFE: (421, ""),
+    ReplyKind.OTHER_WORKER: (421, ""),
 }
 """Status and reason of a worker's reply; any other has none."""
 STEP_FIELDS = {"memory_mb": "mem_mb", "accelerators": "gpu"}
@@ -240,7 +240,7 @@
 
 
 def _write_running(item: RunningTask) -> list[t.Any]:
-    return [str(item.task), item.run, item.checkpoint, item.percent, item.figure]
+    return [str(item.task), item.run, item.checkpoint, item.percent, item.measurement]
 
 
 def _write_ended(item: EndedTask) -> list[t.Any]:
--- a/src/onyxgap/adapters/call_link.py
+++ b/src/onyxgap/adapters/call_link.py
@@ -15,9 +15,9 @@
 from ..exceptions import FrameError
 from ..jobs.passing import UNABLE
 from ..jobs.passing import CallKind
+from ..jobs.passing import ForwardFailure
 from ..jobs.passing import PassedAnswer
 from ..jobs.passing import PassedCall
-from ..jobs.passing import PassFailure
 from ..settings import Address
 from ..settings import parse_address
 from ..wire.frames import LENGTH_BYTES
@@ -129,10 +129,10 @@
 
     async def ask(
         self, address: str, call: PassedCall, timeout_s: float
-    ) -> PassedAnswer | PassFailure:
+    ) -> PassedAnswer | ForwardFailure:
         """Pass a call on to one node; never raises for a failed call."""
         if self._sending >= MOST_CALLS:
-            return PassFailure.NOT_SENT
+            return ForwardFailure.NOT_SENT
         self._sending += 1
         try:
             return await self._ask(parse_address(address), call, timeout_s)
@@ -141,22 +141,22 @@
 
     async def _ask(
         self, target: Address, call: PassedCall, timeout_s: float
-    ) -> PassedAnswer | PassFailure:
+    ) -> PassedAnswer | ForwardFailure:
         try:
             with anyio.fail_after(min(CONNECT_S, timeout_s)):
                 stream = await anyio.connect_tcp(target.host, target.port)
         except (OSError, TimeoutError):
-            return PassFailure.NOT_SENT
+            return ForwardFailure.NOT_SENT
         try:
             async with stream:
                 with anyio.fail_after(timeout_s):
                     await stream.send(encode_call(self.get_address(), call))
                     return decode_answer(await _receive_frame(stream))
         except (*_BROKEN, TimeoutError):
-            return PassFailure.NO_ANSWER
+            return ForwardFailure.NO_ANSWER
         except FrameError as error:
             _LOG.warning("bad answer to a passed call", reason=str(error))
-            return PassFailure.NO_ANSWER
+            return ForwardFailure.NO_ANSWER
 
     async def run(self, answer: Answer) -> None:
         """Answer the calls of others until cancelled."""
--- a/src/onyxgap/daemons/authentication.py
+++ b/src/onyxgap/daemons/authentication.py
@@ -14,13 +14,13 @@
 from ..jobs.desk import Unavailable
 from ..jobs.routing import Route
 from ..jobs.routing import RouteTable
-from ..jobs.tenants import ANYONE
+from ..jobs.tenants import ANONYMOUS
 from ..jobs.tenants import Caller
-from ..jobs.tenants import KeyFault
+from ..jobs.tenants import KeyRejection
 from ..jobs.tenants import identify
 from .configuration_exchange import ConfigurationExchange
 
-LOGGED_PER_S = 20
+MAX_LOGGED_PER_S = 20
 """Maximum number of rejections logged per second; the others are only counted."""
 
 _LOG = structlog.get_logger()
@@ -32,19 +32,19 @@
 
     :param routes: the configuration in force.
     :param exchange: knows whether that configuration is current.
-    :param on_refused: called with the reason of each rejection.
+    :param on_rejected: called with the reason of each rejection.
     """
 
     routes: RouteTable
     exchange: ConfigurationExchange
-    on_refused: t.Callable[[str], None] = lambda reason: None
+    on_rejected: t.Callable[[str], None] = lambda reason: None
     _current_second: int = 0
     _logged_in_second: int = 0
     _suppressed: int = 0
 
     async def identify(
         self, route: Route, keys: t.Sequence[bytes], job_id: str
-    ) -> Caller | KeyFault | Unavailable:
+    ) -> Caller | KeyRejection | Unavailable:
         """Identify the caller of a queue.
 
         An unknown key is rejected only after the newest configuration has been read.
@@ -54,15 +54,15 @@
         :param job_id: job of the call, for the log.
         """
         if not self.routes.needs_key(route):
-            return ANYONE
+            return ANONYMOUS
         if not self.exchange.is_current():
             return Unavailable.CONFIGURATION_AGE
         caller = identify(keys, self.routes.keys)
-        if caller is KeyFault.UNKNOWN:
+        if caller is KeyRejection.UNKNOWN:
             if not await self.exchange.make_sure():
                 return Unavailable.CONFIGURATION_AGE
             caller = identify(keys, self.routes.keys)
-        if isinstance(caller, KeyFault):
+        if isinstance(caller, KeyRejection):
             self.record_rejection(caller.value, route, job_id)
         return caller
 
@@ -73,11 +73,11 @@
         :param route: route of the queue.
         :param job_id: job of the call.
         """
-        self.on_refused(reason)
+        self.on_rejected(reason)
         second = int(self.exchange.clocks.read_boot())
         if second != self._current_second:
             self._current_second, self._logged_in_second = second, 0
-        if self._logged_in_second >= LOGGED_PER_S:
+        if self._logged_in_second >= MAX_LOGGED_PER_S:
             self._suppressed += 1
             return
         self._logged_in_second += 1
--- a/src/onyxgap/daemons/configuration_exchange.py
+++ b/src/onyxgap/daemons/configuration_exchange.py
@@ -20,9 +20,9 @@
 from ..clocks import Clocks
 from ..exceptions import DocumentError
 from ..exceptions import PlatformUnavailableError
-from ..jobs.configurations import Assembly
-from ..jobs.configurations import encode_configuration
-from ..jobs.configurations import split_content
+from ..jobs.configuration_encoding import ConfigurationAssembler
+from ..jobs.configuration_encoding import encode_configuration
+from ..jobs.configuration_encoding import split_content
 from ..jobs.members import Member
 from ..jobs.notices import ConfigurationPart
 from ..jobs.notices import ConfigurationQuestion
@@ -30,7 +30,7 @@
 from ..jobs.routing import Configuration
 from ..jobs.routing import RouteTable
 
-VALID_SHARE = 0.65
+VALID_FRACTION = 0.65
 """Age up to which the configuration in force counts as current, as a fraction of
 ``propagation_limit_s``; the rest allows for feeds that report nothing for a second."""
 QUERY_FRACTION = 0.75
@@ -72,7 +72,7 @@
     _read_done: bool = False
     _last_query_id: int = 0
     _queried_at: dict[int, float] = attrs.field(factory=dict)
-    _assembly: Assembly = attrs.field(factory=Assembly)
+    _assembly: ConfigurationAssembler = attrs.field(factory=ConfigurationAssembler)
     _encoded: tuple[int, list[bytes]] = (0, [])
 
     def get_age(self) -> float:
@@ -81,7 +81,7 @@
 
     def is_current(self) -> bool:
         """Return whether the configuration was confirmed recently enough to be used."""
-        return self.get_age() <= self.propagation_limit_s * VALID_SHARE
+        return self.get_age() <= self.propagation_limit_s * VALID_FRACTION
 
     async def make_sure(self) -> bool:
         """Read the configuration's row, unless it was read within ``READ_VALID_S``.
@@ -108,10 +108,13 @@
         """Query other nodes while the store does not confirm the configuration."""
         while True:
             await anyio.sleep(QUERY_INTERVAL_S)
-            if self.get_age() > self.propagation_limit_s * VALID_SHARE * QUERY_FRACTION:
-                self._ask()
+            if (
+                self.get_age()
+                > self.propagation_limit_s * VALID_FRACTION * QUERY_FRACTION
+            ):
+                self._send_query()
 
-    def _ask(self) -> None:
+    def _send_query(self) -> None:
         own_address = self.peers.get_address()
         others = [
             member
@@ -155,7 +158,7 @@
             self._encoded = (configuration.version, parts)
         return self._encoded[1]
 
-    def take(self, part: ConfigurationPart) -> None:
+    def handle_answer(self, part: ConfigurationPart) -> None:
         """Process an answer to a query, or one part of it.
 
         Answers to unknown or expired queries are ignored.
--- a/src/onyxgap/daemons/control.py
+++ b/src/onyxgap/daemons/control.py
@@ -57,7 +57,7 @@
 
 
 @attrs.define
-class ControlParts:
+class ControlProcess:
     """A control process without its sockets.
 
     :param row: member row of the process.
@@ -303,7 +303,7 @@
     :param process: the control process; 503 is answered until it is set.
     """
 
-    process: ControlParts | None = None
+    process: ControlProcess | None = None
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one HTTP request."""
@@ -316,25 +316,25 @@
             await route(self.process, send)
 
 
-async def _serve_live(process: ControlParts, send: Send) -> None:
+async def _serve_live(process: ControlProcess, send: Send) -> None:
     await send_json(send, 200, {"live": True})
 
 
-async def _serve_ready(process: ControlParts, send: Send) -> None:
+async def _serve_ready(process: ControlProcess, send: Send) -> None:
     ready = process.is_ready()
     await send_json(send, 200 if ready else 503, {"ready": ready})
 
 
-async def _serve_metrics(process: ControlParts, send: Send) -> None:
+async def _serve_metrics(process: ControlProcess, send: Send) -> None:
     headers = [("Content-Type", "text/plain; version=0.0.4")]
     await send_answer(send, 200, process.metrics.render(), headers)
 
 
-async def _serve_status(process: ControlParts, send: Send) -> None:
+async def _serve_status(process: ControlProcess, send: Send) -> None:
     await send_json(send, 200, process.describe())
 
 
-_ROUTES: dict[str, t.Callable[[ControlParts, Send], t.Awaitable[None]]] = {
+_ROUTES: dict[str, t.Callable[[ControlProcess, Send], t.Awaitable[None]]] = {
     "/healthz": _serve_live,
     "/readyz": _serve_ready,
     "/metrics": _serve_metrics,
@@ -364,7 +364,7 @@
         server = HttpServer(front, settings.http, settings.stop_grace_s)
         http = await group.start(server.run)
         row = build_member_row(settings, CONTROL_ROLE, peer, http, rng)
-        process = ControlParts(
+        process = ControlProcess(
             row,
             platform,
             hub,
--- a/src/onyxgap/daemons/desk.py
+++ b/src/onyxgap/daemons/desk.py
@@ -10,8 +10,8 @@
 from ..exceptions import DocumentError
 from ..exceptions import PlatformUnavailableError
 from ..jobs import tables
-from ..jobs.admission import Gate
-from ..jobs.admission import decode_outlook
+from ..jobs.admission import AdmissionController
+from ..jobs.admission import decode_delay_estimate
 from ..jobs.desk import Denied
 from ..jobs.desk import SubmitOutcome
 from ..jobs.desk import SubmitResult
@@ -36,10 +36,10 @@
 from ..jobs.submissions import decode_submission
 from ..jobs.submissions import encode_submission
 from ..jobs.submissions import is_same_request
-from ..jobs.tenants import ANYONE
+from ..jobs.tenants import ANONYMOUS
 from ..jobs.tenants import Caller
-from ..jobs.tenants import KeyFault
-from ..jobs.tenants import find_step_above
+from ..jobs.tenants import KeyRejection
+from ..jobs.tenants import find_oversized_step
 from ..jobs.waiting import CountSource
 from ..jobs.waiting import WaitingCount
 from .authentication import Authentication
@@ -58,7 +58,7 @@
 
 
 @attrs.define
-class NodeDesk:
+class LocalJobApi:
     """Answers API calls from the store and from the shards that the node owns.
 
     :param store: the store.
@@ -88,7 +88,7 @@
     owners: dict[str, ShardOwner]
     authentication: Authentication
     on_stored: t.Callable[[str, str], None] = lambda *_: None
-    admission: Gate | None = None
+    admission: AdmissionController | None = None
     should_forward: t.Callable[[], bool] = lambda: False
     count_nodes: t.Callable[[], int] = lambda: 1
     on_answer: t.Callable[[str, str, float], None] = lambda *_: None
@@ -111,7 +111,7 @@
 
     async def identify(
         self, route: Route, keys: t.Sequence[bytes], job_id: str
-    ) -> Caller | KeyFault | Unavailable:
+    ) -> Caller | KeyRejection | Unavailable:
         """Identify the caller of a queue."""
         return await self.authentication.identify(route, keys, job_id)
 
@@ -148,12 +148,12 @@
             service=submission.policy.service,
             outcome=result.outcome.value,
             reason=result.reason,
-            configuration=self.get_version(),
+            configuration=self.get_configuration_version(),
             took_s=round(took_s, 4),
         )
         return result
 
-    def get_version(self) -> int:
+    def get_configuration_version(self) -> int:
         """Return the version of the configuration in force, 0 if there is none."""
         configuration = self.routes.configuration
         return configuration.version if configuration else 0
@@ -162,7 +162,7 @@
         if self._is_store_down():
             reason = Unavailable.STORE.value
             return SubmitResult(SubmitOutcome.REFUSED, reason, OUTAGE_RETRY_AFTER_S)
-        for shard in self.routes.list_former(submission.policy):
+        for shard in self.routes.list_previous_services(submission.policy):
             try:
                 stored = await self._read_submission(shard, submission.job_id)
             except PlatformUnavailableError as error:
@@ -180,7 +180,7 @@
         if not submission.tenant:
             return None
         cap = self.routes.find_cap(submission.tenant)
-        step = find_step_above(submission.steps, cap)
+        step = find_oversized_step(submission.steps, cap)
         if step is None:
             return None
         reason = f"$.steps[{step}]: asks for more than its tenant may have running"
@@ -194,15 +194,17 @@
         if self.admission is None or report is None:
             return None
         try:
-            estimate = decode_outlook(report.outlook)
+            estimate = decode_delay_estimate(report.outlook)
         except (TypeError, KeyError) as error:
             _LOG.warning("delay estimate could not be decoded", reason=repr(error))
             return None
-        overload = self.admission.judge(submission, estimate, self.count_nodes(), now)
+        overload = self.admission.check(submission, estimate, self.count_nodes(), now)
         if overload is None:
             return None
-        delay_s = overload.line.of_use_s
-        reason = f"{delay_s:.1f} s of work are waiting, {overload.use_s:.1f} s are left"
+        delay_s = overload.queue_delay.of_use_s
+        reason = (
+            f"{delay_s:.1f} s of work are waiting, {overload.slack_s:.1f} s are left"
+        )
         return SubmitResult(SubmitOutcome.OVERLOADED, reason, overload.retry_after_s)
 
     async def _reject_unless_stored(
@@ -272,11 +274,11 @@
         policy = route.policy
         configuration = self.routes.configuration
         others = configuration.list_shards() if configuration else ()
-        former = self.routes.list_former(policy)
+        former = self.routes.list_previous_services(policy)
         return list(dict.fromkeys([policy.service, *former, *others]))
 
     async def get_state(
-        self, route: Route, job_id: str, caller: Caller = ANYONE
+        self, route: Route, job_id: str, caller: Caller = ANONYMOUS
     ) -> JobState | None | Unavailable | Denied:
         """Return the state of a job, ``None`` if there is no such job."""
         started = self.clocks.read_monotonic()
@@ -292,7 +294,7 @@
                 job=job_id,
                 queue=route.policy.queue,
                 outcome=outcome,
-                configuration=self.get_version(),
+                configuration=self.get_configuration_version(),
                 took_s=round(took_s, 4),
             )
         return state
@@ -306,7 +308,7 @@
     ) -> JobState | None | Unavailable | Denied:
         if not isinstance(status, JobStatus):
             return status
-        if not caller.may_use(status.tenant):
+        if not caller.may_access(status.tenant):
             return self._deny(route, job_id)
         return status.state
 
@@ -355,7 +357,7 @@
             del self._final_statuses[next(iter(self._final_statuses))]
 
     async def cancel(
-        self, route: Route, job_id: str, caller: Caller = ANYONE
+        self, route: Route, job_id: str, caller: Caller = ANONYMOUS
     ) -> bool | Unavailable | Denied:
         """Cancel a job; return false if there is no such job."""
         started = self.clocks.read_monotonic()
@@ -382,7 +384,7 @@
                 submission = await self._read_submission(shard, job_id)
                 if submission is None:
                     continue
-                if not caller.may_use(submission.tenant):
+                if not caller.may_access(submission.tenant):
                     return self._deny(route, job_id)
                 return await self._store_cancel(shard, job_id)
         except PlatformUnavailableError:
@@ -409,7 +411,7 @@
             source=waiting.source.value,
             age_s=round(waiting.age_s, 2),
             epoch=waiting.epoch,
-            configuration=self.get_version(),
+            configuration=self.get_configuration_version(),
         )
         return Unavailable.COUNT if waiting.count is None else waiting.count
 
@@ -448,7 +450,7 @@
 
 
 def _compare(stored: Submission, submission: Submission) -> SubmitResult:
-    if not Caller(submission.tenant).may_use(stored.tenant):
+    if not Caller(submission.tenant).may_access(stored.tenant):
         return SubmitResult(SubmitOutcome.OTHER_TENANT, Denied.OTHER_TENANT.value)
     if is_same_request(stored, submission):
         return SubmitResult(SubmitOutcome.ACCEPTED, "known")
--- a/src/onyxgap/daemons/entry.py
+++ b/src/onyxgap/daemons/entry.py
@@ -41,7 +41,7 @@
 
 
 @attrs.define
-class EntryParts:
+class EntryProcess:
     """An entry process without its sockets.
 
     Tests build it with fakes in place of the platform, peers and targets.
@@ -247,7 +247,7 @@
         server = HttpServer(deferred, settings.http, settings.stop_grace_s)
         http = await group.start(server.run)
         row = build_member_row(settings, ENTRY_ROLE, peer, http, rng)
-        process = EntryParts(
+        process = EntryProcess(
             row, platform, hub, client, SystemClocks(), rng, settings.poll_interval_s
         )
         hub.on_frame = process.handle_frame
@@ -272,7 +272,7 @@
 
 
 async def _stop_gracefully(
-    process: EntryParts, server: HttpServer, settings: Settings
+    process: EntryProcess, server: HttpServer, settings: Settings
 ) -> None:
     _LOG.info("stopping", in_flight=process.pipe.in_flight)
     process.stopping = True
--- a/src/onyxgap/daemons/fence.py
+++ b/src/onyxgap/daemons/fence.py
@@ -47,11 +47,11 @@
     _renewed_at: float = -math.inf
     _sequence: int = 0
 
-    def is_beat_due(self, now: float) -> bool:
+    def is_renewal_due(self, now: float) -> bool:
         """Tell whether the owner row must be renewed."""
         return now - self._renewed_at >= RENEWAL_INTERVAL_S
 
-    def put_beat(
+    def add_renewal(
         self,
         puts: dict[RowId, bytes],
         now: float,
--- a/src/onyxgap/daemons/fleet.py
+++ b/src/onyxgap/daemons/fleet_controller.py
@@ -21,7 +21,7 @@
 from ..jobs.store import RowId
 from ..jobs.store import Store
 from ..jobs.store import StoredRow
-from ..pools.messages import Cloud
+from ..pools.messages import CloudClient
 from ..pools.messages import FleetRow
 from ..pools.messages import VmOrder
 from ..pools.messages import VmReply
@@ -31,10 +31,10 @@
 from ..pools.messages import encode_fleet_row
 from ..pools.planner import FleetPlanner
 from ..pools.sizing import Sizer
-from ..pools.sizing import get_need
+from ..pools.sizing import get_vm_demand
 from .follower import Follower
 from .owned import OwnedShard
-from .reading import read_at_once
+from .reading import read_partitions
 from .rows import SkippedRows
 from .rows import decode_rows
 
@@ -52,7 +52,7 @@
 
 
 @attrs.define(eq=False)
-class FleetHolder(OwnedShard):
+class FleetController(OwnedShard):
     """Fleet controller on this node, from the claim of the role to its loss or release.
 
     :param cloud: client for calls about VMs.
@@ -68,7 +68,7 @@
     :param skipped: number of rows that could not be decoded, by table.
     """
 
-    cloud: Cloud
+    cloud: CloudClient
     store: Store
     clocks: Clocks
     limits: TimeLimits
@@ -95,7 +95,7 @@
 
         :raises OwnershipLostError: when another node has claimed the role.
         """
-        await self._own(self._load, self._run_loops)
+        await self._run_until_released(self._load, self._run_loops)
 
     async def _run_loops(self, group: anyio.abc.TaskGroup) -> None:
         reports = Follower(
@@ -115,7 +115,7 @@
             (tables.FLEET_TABLE, tables.FLEET_SHARD),
             (tables.TURNS_TABLE, tables.FLEET_SHARD),
         ]
-        fleet_page, forecast_page = await read_at_once(self.store, partitions)
+        fleet_page, forecast_page = await read_partitions(self.store, partitions)
         for _, fleet in decode_rows(
             fleet_page.rows,
             lambda row: decode_fleet_row(row.value),
@@ -171,7 +171,7 @@
             except PlatformUnavailableError as error:
                 _LOG.info("VMs not listed", reason=str(error))
             else:
-                self.planner.apply_list(vms, sent_at)
+                self.planner.apply_vm_list(vms, sent_at)
                 self.wake()
             await anyio.sleep(VM_LIST_INTERVAL_S)
 
@@ -186,7 +186,7 @@
         for number, wave in self.waves.items():
             if number not in self.planner.waves:
                 self.planner.add_wave(wave, self._now())
-                self.planner.restore_done(self._previous_row)
+                self.planner.restore_maintained_vms(self._previous_row)
 
     async def _plan_until_released(self) -> None:
         while not self.releasing:
@@ -210,7 +210,7 @@
                 "pool sizes chosen",
                 sizes=sizes,
                 needs={
-                    shard: round(get_need(report), 1)
+                    shard: round(get_vm_demand(report), 1)
                     for shard, report in self.planner.reports.items()
                 },
                 busy=sorted(busy),
@@ -219,7 +219,7 @@
         self.planner.busy = busy
 
     async def _store_and_send(self, orders: t.Sequence[VmOrder]) -> None:
-        if self.writer.is_beat_due(self._now()):
+        if self.writer.is_renewal_due(self._now()):
             # ended orders are removed with the renewal, which saves a write
             self.planner.forget_orders(self._now() - self._get_order_pause_s())
         value = encode_fleet_row(self.planner.get_row())
@@ -227,7 +227,7 @@
         # that was suspended and has a successor must not send orders
         changed = bool(orders) or value != self._stored_row
         puts = {tables.get_fleet_row(): value} if changed else {}
-        if not puts and not self.writer.is_beat_due(self._now()):
+        if not puts and not self.writer.is_renewal_due(self._now()):
             return
         started = self.clocks.read_boot()
         await self._write_rows(puts)
@@ -238,8 +238,8 @@
 
     async def _write_rows(self, puts: dict[RowId, bytes]) -> None:
         now = self._now()
-        if self.writer.is_beat_due(now):
-            self.writer.put_beat(puts, now, {})
+        if self.writer.is_renewal_due(now):
+            self.writer.add_renewal(puts, now, {})
             forecast = orjson.dumps(self.sizer.export(self._get_wall_offset()))
             if forecast != self._stored_forecast:
                 puts[tables.get_turns_row()] = self._stored_forecast = forecast
@@ -258,7 +258,7 @@
         self.wake()
 
     async def _write_wave_statuses(self) -> None:
-        complete = set(self.planner.find_complete())
+        complete = set(self.planner.list_complete_waves())
         for number in self.planner.waves:
             done = number in complete
             if self._written_statuses.get(number) is done:
--- a/src/onyxgap/daemons/follower.py
+++ b/src/onyxgap/daemons/follower.py
@@ -44,7 +44,7 @@
     :param pause_s: seconds between calls; greater than 0 for changes that need not be
         applied at once.
     :param after: version after which changes are followed; 0 to read a snapshot first.
-    :param on_current: called with the time, in seconds of the boot clock, up to which
+    :param on_caught_up: called with the time, in seconds of the boot clock, up to which
         all changes were passed to ``on_rows``; ``None`` if not needed.
     :param read_boot: reads the boot clock, which also counts while the VM is suspended.
     """
@@ -57,7 +57,7 @@
     wait_s: float = WAIT_S
     pause_s: float = 0.0
     after: int = 0
-    on_current: t.Callable[[float], None] | None = None
+    on_caught_up: t.Callable[[float], None] | None = None
     read_boot: t.Callable[[], float] = anyio.current_time
 
     async def run(self) -> t.NoReturn:
@@ -96,8 +96,8 @@
             self._report_caught_up(sent_at + self.wait_s)
 
     def _report_caught_up(self, at: float) -> None:
-        if self.on_current is not None:
-            self.on_current(at)
+        if self.on_caught_up is not None:
+            self.on_caught_up(at)
 
     async def _read_snapshot(self) -> None:
         pages: list[Page] = []
--- a/src/onyxgap/daemons/node.py
+++ b/src/onyxgap/daemons/node.py
@@ -10,7 +10,7 @@
 from ..exceptions import OwnershipLostError
 from ..exceptions import PlatformUnavailableError
 from ..jobs import tables
-from ..jobs.members import is_weak
+from ..jobs.members import is_small_vm
 from ..jobs.ownership import CLAIM_BACKOFF_S
 from ..jobs.ownership import Claimant
 from ..jobs.ownership import OwnerView
@@ -21,7 +21,7 @@
 from ..jobs.store import StoredRow
 from ..jobs.tables import OwnerRow
 from .fence import FencedWriter
-from .fleet import FleetHolder
+from .fleet_controller import FleetController
 from .follower import Follower
 from .node_peers import NodePeers
 from .owner import ShardOwner
@@ -95,7 +95,7 @@
         return list(self.owners.values())
 
     def _count_owned(self) -> int:
-        return len(self.owners) + (self.holder is not None)
+        return len(self.owners) + (self.fleet_controller is not None)
 
     def _apply_owner_rows(self, rows: t.Sequence[StoredRow], snapshot: bool) -> None:
         now = self.clocks.read_monotonic()
@@ -133,7 +133,7 @@
             and now >= self._claim_after.get(shard, 0.0)
             and shard in self._list_shards()
         }
-        weak = is_weak(self.memory_mb, self.members.values())
+        weak = is_small_vm(self.memory_mb, self.members.values())
         claimant = Claimant(
             self.settings.node,
             self.boot,
@@ -160,17 +160,18 @@
     def _update_store_reachable_since(self, now: float) -> float | None:
         answered_at = self.health.answered_at
         if self.health.is_down(now) or not answered_at:
-            self._heard_since = None
+            self._store_reachable_since = None
         elif (
-            self._heard_since is None or answered_at - self._heard_at > MAX_ANSWER_GAP_S
+            self._store_reachable_since is None
+            or answered_at - self._store_answered_at > MAX_ANSWER_GAP_S
         ):
-            self._heard_since = now
-        self._heard_at = answered_at
-        return self._heard_since
+            self._store_reachable_since = now
+        self._store_answered_at = answered_at
+        return self._store_reachable_since
 
     def _owns(self, shard: str) -> bool:
         if shard == tables.FLEET_SHARD:
-            return self.holder is not None
+            return self.fleet_controller is not None
         return shard in self.owners
 
     async def _claim(self, shard: str, view: OwnerView) -> None:
@@ -222,7 +223,7 @@
         writer = FencedWriter(shard, row, version, nonce, self.store, self.rng)
         if shard == tables.FLEET_SHARD:
             assert self.cloud is not None
-            holder = FleetHolder(
+            fleet_controller = FleetController(
                 writer,
                 self.cloud,
                 self.store,
@@ -235,8 +236,10 @@
                 sizer=self.build_sizer(),
                 skipped=self.skipped,
             )
-            self.holder = holder
-            self._group.start_soon(self._run_owner, shard, row.epoch, holder.run)
+            self.fleet_controller = fleet_controller
+            self._group.start_soon(
+                self._run_owner, shard, row.epoch, fleet_controller.run
+            )
             return
         context = OwnerContext(
             self.store,
@@ -250,7 +253,7 @@
             self.decoders.decode_worker,
             self.routes.is_guarded,
             self.routes if self.routes.keyed else None,
-            self.adviser,
+            self.policy_client,
             self.settings.contended,
             self.skipped,
         )
@@ -273,7 +276,7 @@
             _LOG.exception("shard failed", shard=shard, epoch=epoch)
         finally:
             if shard == tables.FLEET_SHARD:
-                self.holder = None
+                self.fleet_controller = None
             else:
                 self.owners.pop(shard, None)
         view = self.views[shard]
@@ -283,9 +286,9 @@
         """Release all owned shards, and return once that is done; claim none again."""
         self._stopping = True
         self.desk.stopping = True
-        owners: list[ShardOwner | FleetHolder] = list(self.owners.values())
-        if self.holder is not None:
-            owners.append(self.holder)
+        owners: list[ShardOwner | FleetController] = list(self.owners.values())
+        if self.fleet_controller is not None:
+            owners.append(self.fleet_controller)
         for owner in owners:
             owner.releasing = True
             owner.wake()
--- a/src/onyxgap/daemons/node_view.py
+++ b/src/onyxgap/daemons/node_base.py
@@ -10,37 +10,37 @@
 import structlog
 
 from ..clocks import Clocks
-from ..jobs.admission import Gate
-from ..jobs.advice import Adviser
-from ..jobs.desk import Desk
+from ..jobs.admission import AdmissionController
+from ..jobs.advice import PolicyClient
+from ..jobs.desk import JobApi
 from ..jobs.health import StoreHealth
 from ..jobs.members import Member
 from ..jobs.notices import NoPeers
 from ..jobs.notices import Peers
 from ..jobs.ownership import OwnerView
 from ..jobs.passing import CallLink
-from ..jobs.passing import Helpers
 from ..jobs.passing import NoCallLink
+from ..jobs.passing import PeerSelector
 from ..jobs.routing import Configuration
 from ..jobs.routing import RouteTable
 from ..jobs.settings import NodeSettings
 from ..jobs.store import RowId
 from ..jobs.store import Store
 from ..jobs.store import StoredRow
-from ..jobs.workers import Workers
-from ..pools.messages import Cloud
+from ..jobs.workers import WorkerClient
+from ..pools.messages import CloudClient
 from ..pools.messages import Wave
 from ..pools.sizing import PoolSizer
 from ..pools.sizing import Sizer
 from .authentication import Authentication
 from .configuration_exchange import ConfigurationExchange
-from .desk import NodeDesk
-from .fleet import FleetHolder
+from .desk import LocalJobApi
+from .fleet_controller import FleetController
 from .follower import Follower
 from .lag import LoopLag
 from .owner import ShardOwner
 from .owner_workers import DecodeWorker
-from .passing_desk import PassingDesk
+from .passing_desk import ForwardingJobApi
 from .rows import SkippedRows
 from .rows import decode_rows
 
@@ -73,7 +73,7 @@
 
 
 @attrs.define(eq=False)
-class NodeView:
+class NodeBase:
     """Components of a node, and its state as read from the operator's rows.
 
     :param settings: the node's settings.
@@ -84,7 +84,7 @@
     :param decoders: tables and formats of the rows of the operator and of workers.
     :param clocks: the process's clocks.
     :param rng: adds jitter to retries and chooses peers.
-    :param adviser: client of the policy service, ``None`` if there is none.
+    :param policy_client: client of the policy service, ``None`` if there is none.
     :param peers: sends notices to other nodes and receives theirs.
     :param calls: transport of calls that nodes forward to each other.
     :param build_sizer: builds the policy that chooses the sizes of pools.
@@ -95,7 +95,7 @@
     :param owners: owned shards by name.
     :param waves: maintenance waves by number.
     :param members: all registered nodes by name.
-    :param holder: the fleet controller while this node has that role.
+    :param fleet_controller: the fleet controller while this node has that role.
     :param shards_failed: number of shards lost to unexpected errors.
     :param skipped: number of rows that could not be decoded, by table.
     :param passing: job API that forwards calls, ``None`` if calls are not forwarded.
@@ -108,12 +108,12 @@
     settings: NodeSettings
     store: Store
     health: StoreHealth
-    workers: Workers
-    cloud: Cloud | None
+    workers: WorkerClient
+    cloud: CloudClient | None
     decoders: Decoders
     clocks: Clocks
     rng: random.Random
-    adviser: Adviser | None = None
+    policy_client: PolicyClient | None = None
     peers: Peers = attrs.field(factory=NoPeers)
     calls: CallLink = attrs.field(factory=NoCallLink)
     build_sizer: t.Callable[[], Sizer] = PoolSizer
@@ -124,16 +124,16 @@
     owners: dict[str, ShardOwner] = attrs.field(factory=dict)
     waves: dict[int, Wave] = attrs.field(factory=dict)
     members: dict[str, Member] = attrs.field(factory=dict)
-    holder: FleetHolder | None = None
+    fleet_controller: FleetController | None = None
     shards_failed: int = 0
     skipped: SkippedRows = attrs.field(factory=SkippedRows)
-    passing: PassingDesk | None = None
+    passing: ForwardingJobApi | None = None
     exchange: ConfigurationExchange = attrs.field(init=False)
-    desk: NodeDesk = attrs.field(init=False)
-    front: Desk = attrs.field(init=False)
+    desk: LocalJobApi = attrs.field(init=False)
+    front: JobApi = attrs.field(init=False)
     lag: LoopLag = attrs.field(init=False)
-    _heard_since: float | None = None
-    _heard_at: float = 0.0
+    _store_reachable_since: float | None = None
+    _store_answered_at: float = 0.0
     _claiming: set[str] = attrs.field(factory=set)
     _claim_after: dict[str, float] = attrs.field(factory=dict)
     _group: anyio.abc.TaskGroup | None = None
@@ -151,7 +151,7 @@
             self.members,
             self._read_configuration,
         )
-        self.desk = NodeDesk(
+        self.desk = LocalJobApi(
             self.store,
             self.health,
             self.clocks,
@@ -162,12 +162,14 @@
         )
         self.front = self.desk
         if self.settings.contended:
-            helpers = Helpers(self.settings.node, self.members, self.rng.sample)
-            self.passing = PassingDesk(
-                self.desk, self.health, self.clocks, helpers, self.calls
+            peer_selector = PeerSelector(
+                self.settings.node, self.members, self.rng.sample
+            )
+            self.passing = ForwardingJobApi(
+                self.desk, self.health, self.clocks, peer_selector, self.calls
             )
             self.front = self.passing
-            self.desk.admission = Gate()
+            self.desk.admission = AdmissionController()
             self.desk.count_nodes = lambda: len(self.members)
 
     def _follow_operator(self) -> Follower:
@@ -177,7 +179,7 @@
             lambda: [""],
             self._apply_operator_rows,
             self.rng,
-            on_current=lambda at: self.routes.confirm(0, at),
+            on_caught_up=lambda at: self.routes.confirm(0, at),
             read_boot=self.clocks.read_boot,
         )
 
--- a/src/onyxgap/daemons/node_peers.py
+++ b/src/onyxgap/daemons/node_peers.py
@@ -10,19 +10,19 @@
 from ..jobs.members import Member
 from ..jobs.members import decode_member
 from ..jobs.members import encode_member
-from ..jobs.members import is_weak
-from ..jobs.members import list_stronger
+from ..jobs.members import is_small_vm
+from ..jobs.members import list_large_vm_nodes
 from ..jobs.notices import ConfigurationPart
 from ..jobs.notices import ConfigurationQuestion
 from ..jobs.notices import HandOver
 from ..jobs.notices import JobNotice
 from ..jobs.notices import Notice
-from ..jobs.relief import Relief
+from ..jobs.relief import ShardOfferPolicy
 from ..jobs.store import Applied
 from ..jobs.store import Batch
 from ..jobs.store import StoredRow
 from .follower import Follower
-from .node_view import NodeView
+from .node_base import NodeBase
 from .owned import OwnedShard
 from .rows import decode_rows
 
@@ -39,7 +39,7 @@
 
 
 @attrs.define(eq=False)
-class NodePeers(NodeView):
+class NodePeers(NodeBase):
     """Part of a node that exchanges notices; see :mod:`onyxgap.jobs.notices`."""
 
     def __attrs_post_init__(self) -> None:
@@ -90,7 +90,7 @@
     def _notify_owner(self, shard: str, key: str) -> None:
         owner = self.owners.get(shard)
         if owner is not None:
-            owner.note_stored(key)
+            owner.fetch_if_missing(key)
             return
         view = self.views.get(shard)
         if view is None or view.row is None:
@@ -108,8 +108,8 @@
                 logged = False
                 continue
             owned: list[OwnedShard] = [*self.owners.values()]
-            if self.holder is not None:
-                owned.append(self.holder)
+            if self.fleet_controller is not None:
+                owned.append(self.fleet_controller)
             if owned and not logged:
                 _LOG.info(
                     "sending hand-over notices", shards=[item.shard for item in owned]
@@ -123,11 +123,11 @@
 
         Does so while this node's VM is small or its event loop lags.
         """
-        relief = Relief()
+        relief = ShardOfferPolicy()
         while True:
             await anyio.sleep(HAND_OVER_INTERVAL_S)
             now = self.clocks.read_monotonic()
-            relief.weak = is_weak(self.memory_mb, self.members.values())
+            relief.weak = is_small_vm(self.memory_mb, self.members.values())
             relief.observe_lag(self.lag.seconds, now)
             if relief.weak:
                 self._offer_previous_shards()
@@ -135,7 +135,7 @@
                 if owner.loaded_at is None or self._stopping:
                     continue
                 owned_s = now - owner.loaded_at
-                if relief.offers(owner.shard, owner.epoch, owned_s, now):
+                if relief.should_offer(owner.shard, owner.epoch, owned_s, now):
                     _LOG.info(
                         "shard offered",
                         shard=owner.shard,
@@ -157,7 +157,7 @@
                 self._notify_large_vm_nodes(HandOver(shard, row.boot, row.epoch))
 
     def _notify_large_vm_nodes(self, notice: HandOver) -> None:
-        for node in list_stronger(self.settings.node, self.members):
+        for node in list_large_vm_nodes(self.settings.node, self.members):
             self.peers.send(self.members[node].address, notice)
 
     def _notify_all_nodes(self, notice: Notice) -> None:
@@ -169,13 +169,13 @@
         if isinstance(notice, JobNotice):
             owner = self.owners.get(notice.shard)
             if owner is not None:
-                owner.note_stored(notice.key)
+                owner.fetch_if_missing(notice.key)
         elif isinstance(notice, HandOver):
             self._handle_hand_over(notice)
         elif isinstance(notice, ConfigurationQuestion):
             self.exchange.answer(notice)
         elif isinstance(notice, ConfigurationPart):
-            self.exchange.take(notice)
+            self.exchange.handle_answer(notice)
 
     def _handle_hand_over(self, notice: HandOver) -> None:
         view = self.views.get(notice.shard)
@@ -191,4 +191,4 @@
                 owner=row.node,
                 epoch=row.epoch,
             )
-        self.views[notice.shard] = view.note_hand_over(self.clocks.read_monotonic())
+        self.views[notice.shard] = view.record_hand_over(self.clocks.read_monotonic())
--- a/src/onyxgap/daemons/node_process.py
+++ b/src/onyxgap/daemons/node_process.py
@@ -12,8 +12,8 @@
 from ..adapters.notice_link import DatagramPeers
 from ..clocks import SystemClocks
 from ..exceptions import DocumentError
+from ..jobs.health import MonitoredStore
 from ..jobs.health import StoreHealth
-from ..jobs.health import WatchedStore
 from ..jobs.notices import NoPeers
 from ..jobs.notices import Peers
 from ..jobs.passing import CallLink
@@ -32,7 +32,7 @@
 from ..platform.workers import PlatformWorkers
 from ..settings import Address
 from .node import Node
-from .node_view import Decoders
+from .node_base import Decoders
 
 BALANCER_DRAIN_S = 2.5
 """Time from the release of the shards to the closing of the callers' listener. The load
@@ -88,19 +88,19 @@
     clocks = SystemClocks()
     health = StoreHealth()
     store = PlatformStore(HttpClient(settings.store, MAX_STORE_CONNECTIONS))
-    adviser = None
+    policy_client = None
     if settings.advice != "-":
-        adviser = PlatformAdvice(HttpClient(settings.advice))
+        policy_client = PlatformAdvice(HttpClient(settings.advice))
     return Node(
         settings,
-        WatchedStore(store, health, clocks),
+        MonitoredStore(store, health, clocks),
         health,
         PlatformWorkers(),
         None if settings.cloud == "-" else PlatformCloud(HttpClient(settings.cloud)),
         DECODERS,
         clocks,
         random.Random(os.urandom(8)),
-        adviser=adviser,
+        policy_client=policy_client,
         peers=_build_peers(settings),
         calls=_build_call_link(settings),
         memory_mb=_read_memory_mb(),
@@ -118,7 +118,7 @@
             "shards_owned": lambda: len(node.owners),
             "shards_failed": lambda: node.shards_failed,
             "rows_skipped": node.skipped.total,
-            "fleet_duty_held": lambda: node.holder is not None,
+            "fleet_duty_held": lambda: node.fleet_controller is not None,
             "jobs_open": lambda: sum(
                 len(owner.state.jobs) for owner in node.owners.values()
             ),
@@ -135,7 +135,7 @@
                 (owner.state.get_start_lag() for owner in node.owners.values()),
                 default=0.0,
             ),
-            "configuration_version": node.desk.get_version,
+            "configuration_version": node.desk.get_configuration_version,
             "ready": node.desk.is_ready,
             "store_down": lambda: node.health.is_down(node.clocks.read_monotonic()),
             "log_lines_dropped": lambda: lines.dropped_total,
@@ -149,7 +149,7 @@
         metrics.count(reason, "key", "key", 0.0)
 
     node.desk.on_answer = count_answer
-    node.desk.authentication.on_refused = count_rejected_key
+    node.desk.authentication.on_rejected = count_rejected_key
     return metrics
 
 
--- a/src/onyxgap/daemons/owned.py
+++ b/src/onyxgap/daemons/owned.py
@@ -44,7 +44,7 @@
             await self._wake.wait()
         self._wake = anyio.Event()
 
-    async def _own(
+    async def _run_until_released(
         self,
         load: t.Callable[[], t.Awaitable[None]],
         work: t.Callable[[anyio.abc.TaskGroup], t.Awaitable[None]],
--- a/src/onyxgap/daemons/owner.py
+++ b/src/onyxgap/daemons/owner.py
@@ -9,7 +9,7 @@
 
 from ..exceptions import PlatformUnavailableError
 from ..jobs import tables
-from ..jobs.admission import encode_outlook
+from ..jobs.admission import encode_delay_estimate
 from ..jobs.encoding import encode_progress
 from ..jobs.encoding import restore_job
 from ..jobs.job import Job
@@ -25,7 +25,7 @@
 from ..pools.messages import encode_report
 from .follower import Follower
 from .owner_workers import OwnerWorkers
-from .reading import read_at_once
+from .reading import read_partitions
 from .rows import decode_rows
 
 MAX_PASS_INTERVAL_S = 0.2
@@ -78,7 +78,7 @@
 
         :raises OwnershipLostError: when another node has claimed it.
         """
-        await self._own(self._load, self._work)
+        await self._run_until_released(self._load, self._work)
 
     async def _work(self, group: anyio.abc.TaskGroup) -> None:
         for worker_id in list(self.state.workers):
@@ -88,8 +88,8 @@
         group.start_soon(self._follow_fleet().run)
         if self.share_synchronizer is not None:
             group.start_soon(self.share_synchronizer.build_follower().run)
-        if self.context.adviser is not None:
-            group.start_soon(self._request_tickets_forever, self.context.adviser)
+        if self.context.policy_client is not None:
+            group.start_soon(self._request_tickets_forever, self.context.policy_client)
         await self._schedule_until_released()
 
     def _follow_jobs(self) -> Follower:
@@ -117,7 +117,9 @@
         wanted.append((tables.PROGRESS_TABLE, self.shard))
         wanted.append((tables.FLEET_TABLE, tables.FLEET_SHARD))
         wanted.append((self.context.worker_table, ""))
-        *jobs, progress, fleet, workers = await read_at_once(self.context.store, wanted)
+        *jobs, progress, fleet, workers = await read_partitions(
+            self.context.store, wanted
+        )
         self._apply_worker_rows(workers.rows, True)
         self._workers_version = workers.version
         values = {row.row_id.key: row.value for row in progress.rows}
@@ -168,7 +170,7 @@
         if rows:
             self.wake()
 
-    def note_stored(self, key: str) -> None:
+    def fetch_if_missing(self, key: str) -> None:
         """Read a stored submission or cancellation unless the change feed brings it.
 
         :param key: key of the row in the shard's job table.
@@ -218,7 +220,7 @@
         await self._release()
 
     def _get_max_wait_s(self) -> float:
-        due_s = self.state.find_next_due(self._wall_ms()) / 1000
+        due_s = self.state.get_next_due_wait_ms(self._wall_ms()) / 1000
         return max(0.0, min(MAX_PASS_INTERVAL_S, due_s))
 
     async def _commit(self, orders: t.Sequence[StartOrder]) -> None:
@@ -245,7 +247,7 @@
         now = self._now()
         wanted = [order.task.job_id for order in orders]
         dirty = list(dict.fromkeys([*wanted, *self.state.dirty]))[:MAX_BATCH_JOBS]
-        renewal_due = self.writer.is_beat_due(now)
+        renewal_due = self.writer.is_renewal_due(now)
         report = self._build_due_report(now)
         if not dirty and not renewal_due and report is None:
             return None
@@ -263,8 +265,8 @@
         expired: tuple[str, ...] = ()
         if renewal_due:
             expired = self._list_expired(now)
-            outlook = encode_outlook(self.state.build_outlook(now))
-            self.writer.put_beat(puts, now, self.state.count_waiting(), outlook)
+            outlook = encode_delay_estimate(self.state.build_outlook(now))
+            self.writer.add_renewal(puts, now, self.state.count_waiting(), outlook)
         if report is not None:
             puts[tables.get_report_row(self.shard)] = encode_report(report)
             self._reported, self._reported_at = report, now
@@ -282,7 +284,7 @@
         if age_s < MIN_REPORT_INTERVAL_S:
             return None
         emptied = self._reported.emptied if self._reported else {}
-        if age_s < REPORT_INTERVAL_S and self.state.list_emptied() == emptied:
+        if age_s < REPORT_INTERVAL_S and self.state.list_drained_workers() == emptied:
             return None
         report = self.state.build_report(now)
         return None if report == self._reported else report
--- a/src/onyxgap/daemons/owner_workers.py
+++ b/src/onyxgap/daemons/owner_workers.py
@@ -10,9 +10,9 @@
 
 from ..clocks import Clocks
 from ..exceptions import OwnershipLostError
-from ..jobs.advice import Adviser
-from ..jobs.crashes import PROOF_MS
-from ..jobs.crashes import SETTLED_MS
+from ..jobs.advice import PolicyClient
+from ..jobs.crashes import CRASH_WINDOW_MS
+from ..jobs.crashes import START_CRASH_WINDOW_MS
 from ..jobs.health import StoreHealth
 from ..jobs.holds import choose_hold_pause
 from ..jobs.holds import choose_hold_wait
@@ -22,17 +22,17 @@
 from ..jobs.run_times import RunTimes
 from ..jobs.settings import TimeLimits
 from ..jobs.shard import Shard
-from ..jobs.share_book import ShareBook
+from ..jobs.share_book import ShardShares
 from ..jobs.store import Store
 from ..jobs.store import StoredRow
-from ..jobs.tenants import TenantBounds
-from ..jobs.workers import MS
+from ..jobs.tenants import TenantLimits
+from ..jobs.workers import MS_PER_S
 from ..jobs.workers import HoldOrder
 from ..jobs.workers import HoldReport
 from ..jobs.workers import ReplyKind
 from ..jobs.workers import StartOrder
 from ..jobs.workers import StopOrder
-from ..jobs.workers import Workers
+from ..jobs.workers import WorkerClient
 from ..pools.messages import PoolReport
 from .follower import Follower
 from .lag import LoopLag
@@ -49,7 +49,7 @@
 """Leases are shorter by this than the longest lease that a worker grants."""
 RENEW_WITHOUT_STORE_S = 8.0
 """Leases are renewed until the store has not answered for this long. Outages of the
-store last up to about 9 s in all; see ``ORPHAN_WAIT_S``."""
+store last up to about 9 s in all; see ``INHERITED_LEASE_S``."""
 MAX_ACK_WAIT_S = 2.0
 """Longest time that the next hold request waits until the results of ended runs are
 stored; leases last 5 s."""
@@ -60,10 +60,10 @@
 CHECK_MARGIN = 1.1
 """Factor by which the checks of a run come later than its crash windows end, since
 worker clocks may be 2% slow."""
-START_CRASH_CHECK_S = PROOF_MS / MS * CHECK_MARGIN
+START_CRASH_CHECK_S = START_CRASH_WINDOW_MS / MS_PER_S * CHECK_MARGIN
 """Time until an isolated run is checked for the first time, after its start-crash
 window."""
-CRASH_CHECK_S = (SETTLED_MS - PROOF_MS) / MS * CHECK_MARGIN
+CRASH_CHECK_S = (CRASH_WINDOW_MS - START_CRASH_WINDOW_MS) / MS_PER_S * CHECK_MARGIN
 """Time from the first check to the second, after the crash window, which clears the
 task of earlier crashes."""
 CAPACITY_MARGIN_S = 1.0
@@ -99,13 +99,13 @@
     :param decode_worker: decodes a registration.
     :param is_guarded: whether the workers of a service reject tasks that do not fit.
     :param tenants: caps and weights of the tenants; ``None`` if there are none.
-    :param adviser: client of the policy service; ``None`` if there is none.
+    :param policy_client: client of the policy service; ``None`` if there is none.
     :param contended: whether submitted jobs may exceed the capacity of the workers.
     :param skipped: number of rows that could not be decoded, by table.
     """
 
     store: Store
-    workers: Workers
+    workers: WorkerClient
     clocks: Clocks
     health: StoreHealth
     limits: TimeLimits
@@ -114,8 +114,8 @@
     worker_table: str
     decode_worker: DecodeWorker
     is_guarded: t.Callable[[str], bool]
-    tenants: TenantBounds | None = None
-    adviser: Adviser | None = None
+    tenants: TenantLimits | None = None
+    policy_client: PolicyClient | None = None
     contended: bool = False
     skipped: SkippedRows = attrs.field(factory=SkippedRows)
 
@@ -150,7 +150,7 @@
             self.state.run_times = RunTimes()
             self.state.forecast = LearnedForecast(self.state.run_times)
         if context.tenants is not None:
-            shard_shares = ShareBook(self.shard, self.epoch, context.tenants.find_cap)
+            shard_shares = ShardShares(self.shard, self.epoch, context.tenants.find_cap)
             self.state.shares = shard_shares
             if context.contended:
                 self.state.find_weight = context.tenants.find_weight
@@ -220,7 +220,7 @@
         known = self.state.workers.get(worker_id)
         if known is not None and known.registered:
             _LOG.info("worker unregistered", worker=worker_id, service=self.shard)
-            self.state.miss_worker(worker_id)
+            self.state.mark_unregistered(worker_id)
 
     def has_silent_workers(self) -> bool:
         """Tell whether any worker is silent."""
@@ -238,7 +238,7 @@
     def _update_capacity_validity(self) -> None:
         guarded = self.context.is_guarded(self.shard)
         valid_s = self.context.limits.beat_s + CAPACITY_MARGIN_S
-        self.state.set_room_validity(math.inf if guarded else valid_s)
+        self.state.set_capacity_validity(math.inf if guarded else valid_s)
 
     def _start_hold_loop(self, worker_id: str) -> None:
         record = self.state.workers.get(worker_id)
@@ -341,10 +341,10 @@
         assert self._group is not None
         self._group.start_soon(run, *args)
 
-    async def _request_tickets_forever(self, adviser: Adviser) -> None:
+    async def _request_tickets_forever(self, policy_client: PolicyClient) -> None:
         """Request tickets from the policy service, for one step at a time."""
         while True:
-            request = self.state.book.take_question()
+            request = self.state.book.pop_request()
             if request is None:
                 self._tickets_needed = anyio.Event()
                 await self._tickets_needed.wait()
@@ -352,8 +352,8 @@
             step_key, workers = request
             requested_at = self._now()
             step = f"{step_key[0]}.{step_key[1]}.{step_key[2]}"
-            advice = await adviser.advise(step, workers) if workers else None
-            self.state.book.note(step_key, advice, requested_at)
+            advice = await policy_client.advise(step, workers) if workers else None
+            self.state.book.store_advice(step_key, advice, requested_at)
             _LOG.info(
                 "tickets received",
                 job=step_key[0],
--- a/src/onyxgap/daemons/passing_desk.py
+++ b/src/onyxgap/daemons/passing_desk.py
@@ -18,18 +18,18 @@
 from ..jobs.passing import UNABLE
 from ..jobs.passing import CallKind
 from ..jobs.passing import CallLink
-from ..jobs.passing import Helpers
+from ..jobs.passing import ForwardFailure
 from ..jobs.passing import PassedAnswer
 from ..jobs.passing import PassedCall
-from ..jobs.passing import PassFailure
-from ..jobs.passing import join_outcomes
+from ..jobs.passing import PeerSelector
+from ..jobs.passing import merge_outcomes
 from ..jobs.routing import Route
 from ..jobs.submissions import decode_submission
 from ..jobs.submissions import encode_submission
-from ..jobs.tenants import ANYONE
+from ..jobs.tenants import ANONYMOUS
 from ..jobs.tenants import Caller
-from ..jobs.tenants import KeyFault
-from .desk import NodeDesk
+from ..jobs.tenants import KeyRejection
+from .desk import LocalJobApi
 
 CALL_TIMEOUT_S = 2.7
 """Timeout of a call including all attempts; callers time out after 3 s."""
@@ -44,7 +44,7 @@
 
 
 @attrs.define
-class PassingDesk:
+class ForwardingJobApi:
     """Answers API calls and forwards those that need the store while it fails.
 
     See :mod:`onyxgap.jobs.passing`.
@@ -52,14 +52,14 @@
     :param local: answers calls from this node's store and shards.
     :param health: whether the store answers.
     :param clocks: the process's clocks.
-    :param helpers: chooses the nodes to which calls are forwarded.
+    :param peer_selector: chooses the nodes to which calls are forwarded.
     :param link: sends calls to other nodes.
     """
 
-    local: NodeDesk
+    local: LocalJobApi
     health: StoreHealth
     clocks: Clocks
-    helpers: Helpers
+    peer_selector: PeerSelector
     link: CallLink
 
     def __attrs_post_init__(self) -> None:
@@ -71,12 +71,14 @@
     def should_forward(self) -> bool:
         """Return whether another node is more likely to answer than the store."""
         now = self._now()
-        return self.health.is_suspect(now) and bool(self.helpers.choose(now))
+        return self.health.is_suspect(now) and bool(self.peer_selector.choose(now))
 
     def _is_store_unreachable(self) -> bool:
         """Return whether calls to the store fail here and on the other nodes."""
         now = self._now()
-        return self.health.is_suspect(now) and self.helpers.is_hopeless(now)
+        return self.health.is_suspect(now) and self.peer_selector.is_store_unreachable(
+            now
+        )
 
     async def find_route(self, host: str, path: str) -> Route | None | Unavailable:
         """Find the route of a request, ``None`` if there is none."""
@@ -84,7 +86,7 @@
 
     async def identify(
         self, route: Route, keys: t.Sequence[bytes], job_id: str
-    ) -> Caller | KeyFault | Unavailable:
+    ) -> Caller | KeyRejection | Unavailable:
         """Identify the caller of a queue."""
         return await self.local.identify(route, keys, job_id)
 
@@ -137,7 +139,7 @@
         Yields an answer, or ``None`` where the call failed but may have been executed.
         Nodes that did not execute the call are skipped.
         """
-        for address in self.helpers.choose(self._now()):
+        for address in self.peer_selector.choose(self._now()):
             remaining_s = deadline - self._now()
             if remaining_s <= 0:
                 return
@@ -146,25 +148,25 @@
                 address, call, min(FORWARD_TIMEOUT_S, remaining_s)
             )
             self._log_forwarded(call, address, answer, self._now() - started)
-            if answer is PassFailure.NOT_SENT or _is_unable(answer):
-                self.helpers.note_unable(address, self._now())
+            if answer is ForwardFailure.NOT_SENT or _is_unable(answer):
+                self.peer_selector.record_failure(address, self._now())
                 continue
-            if isinstance(answer, PassFailure):
-                self.helpers.note_unable(address, self._now())
+            if isinstance(answer, ForwardFailure):
+                self.peer_selector.record_failure(address, self._now())
                 yield None
                 continue
-            self.helpers.note_able(address)
+            self.peer_selector.record_success(address)
             yield answer
 
     def _log_forwarded(
         self,
         call: PassedCall,
         address: str,
-        answer: PassedAnswer | PassFailure,
+        answer: PassedAnswer | ForwardFailure,
         took_s: float,
     ) -> None:
-        failed = isinstance(answer, PassFailure)
-        outcome = answer.value if isinstance(answer, PassFailure) else answer.outcome
+        failed = isinstance(answer, ForwardFailure)
+        outcome = answer.value if isinstance(answer, ForwardFailure) else answer.outcome
         self.local.on_answer("passed-on", outcome, took_s)
         _LOG.info(
             "call passed on",
@@ -178,7 +180,7 @@
         )
 
     async def get_state(
-        self, route: Route, job_id: str, caller: Caller = ANYONE
+        self, route: Route, job_id: str, caller: Caller = ANONYMOUS
     ) -> JobState | None | Unavailable | Denied:
         """Return the state of a job, ``None`` if there is no such job."""
         deadline = self._now() + CALL_TIMEOUT_S
@@ -194,7 +196,7 @@
         return None if answer.outcome == NOT_FOUND else JobState(answer.outcome)
 
     async def cancel(
-        self, route: Route, job_id: str, caller: Caller = ANYONE
+        self, route: Route, job_id: str, caller: Caller = ANONYMOUS
     ) -> bool | Unavailable | Denied:
         """Cancel a job; return false if there is no such job."""
         deadline = self._now() + CALL_TIMEOUT_S
@@ -243,7 +245,7 @@
         return PassedAnswer(result.outcome.value, result.reason, result.retry_after_s)
 
 
-def _is_unable(answer: PassedAnswer | PassFailure) -> bool:
+def _is_unable(answer: PassedAnswer | ForwardFailure) -> bool:
     return isinstance(answer, PassedAnswer) and answer.outcome == UNABLE
 
 
@@ -252,7 +254,7 @@
     if answer is None:
         reason = "another node gave no answer"
         return SubmitResult(SubmitOutcome.UNKNOWN, reason)
-    outcome = join_outcomes(result.outcome, SubmitOutcome(answer.outcome))
+    outcome = merge_outcomes(result.outcome, SubmitOutcome(answer.outcome))
     return SubmitResult(outcome, answer.reason, answer.retry_after_s)
 
 
--- a/src/onyxgap/daemons/reading.py
+++ b/src/onyxgap/daemons/reading.py
@@ -9,7 +9,7 @@
 from ..jobs.store import Store
 
 
-async def read_at_once(
+async def read_partitions(
     store: Store, partitions: t.Sequence[tuple[str, str]]
 ) -> tuple[Page, ...]:
     """Read several partitions concurrently.
--- a/src/onyxgap/daemons/share_keeper.py
+++ b/src/onyxgap/daemons/share_keeper.py
@@ -9,8 +9,8 @@
 import structlog
 
 from ..jobs import tables
-from ..jobs.share_book import Change
-from ..jobs.share_book import ShareBook
+from ..jobs.share_book import ShardShares
+from ..jobs.share_book import ShareUpdate
 from ..jobs.shares import decode_entries
 from ..jobs.shares import encode_entries
 from ..jobs.store import ABSENT
@@ -40,14 +40,14 @@
 class ShareSynchronizer:
     """Reads and writes the share rows for the owner of one shard.
 
-    :param book: the shares of the shard; decides what to write.
+    :param shard_shares: the shares of the shard; decides what to write.
     :param store: the store.
     :param rng: source of the jitter of retries.
     :param on_change: called when a task that waited for a share may be able to start.
     :param skipped: number of rows that could not be decoded, by table.
     """
 
-    book: ShareBook
+    shard_shares: ShardShares
     store: Store
     rng: random.Random
     on_change: t.Callable[[], None]
@@ -74,8 +74,8 @@
             rows, lambda row: decode_entries(row.value), self.skipped, "shares skipped"
         ):
             if entries is not None:
-                self.book.observe(row.row_id.key, entries, row.version)
-        if self.book.list_waiting():
+                self.shard_shares.observe(row.row_id.key, entries, row.version)
+        if self.shard_shares.list_waiting_tenants():
             self.on_change()
 
     def start_due_writes(self, group: anyio.abc.TaskGroup) -> None:
@@ -83,22 +83,22 @@
 
         :param group: task group that runs the writes.
         """
-        for tenant in self.book.list_due():
-            update = self.book.open_change(tenant)
+        for tenant in self.shard_shares.list_tenants_to_write():
+            update = self.shard_shares.begin_update(tenant)
             if update is not None:
                 group.start_soon(self._write, update)
 
-    async def _write(self, update: Change) -> None:
+    async def _write(self, update: ShareUpdate) -> None:
         row = tables.get_share_row(update.tenant)
         batch = Batch({row: update.version}, {row: encode_entries(update.entries)})
         version = await self._write_until_certain(batch)
-        self.book.close_change(update, version)
-        own = update.entries[self.book.shard]
+        self.shard_shares.end_update(update, version)
+        own = update.entries[self.shard_shares.shard]
         _LOG.info(
             "share of a cap",
             tenant=update.tenant,
-            shard=self.book.shard,
-            epoch=self.book.epoch,
+            shard=self.shard_shares.shard,
+            epoch=self.shard_shares.epoch,
             applied=version is not None,
             cpu=own.share.cpu,
             memory_mb=own.share.memory_mb,
--- a/src/onyxgap/daemons/vm_watch.py
+++ b/src/onyxgap/daemons/vm_watch.py
@@ -8,7 +8,7 @@
 
 from ..clocks import Clocks
 from ..exceptions import PlatformUnavailableError
-from ..pools.messages import Cloud
+from ..pools.messages import CloudClient
 from ..pools.messages import VmState
 
 LIST_INTERVAL_S = 0.4
@@ -46,7 +46,7 @@
     :param list_owners: lists the owners of shards on this node.
     """
 
-    cloud: Cloud
+    cloud: CloudClient
     clocks: Clocks
     list_owners: t.Callable[[], t.Sequence[SilentWorkerOwner]]
 
--- a/src/onyxgap/jobs/admission.py
+++ b/src/onyxgap/jobs/admission.py
@@ -12,13 +12,13 @@
 import attrs
 
 from .job import TaskPhase
-from .job import measure_tails
-from .load import measure_share
+from .job import estimate_remaining_paths
+from .load import get_worker_fraction
 from .messages import Submission
 from .priorities import MS_PER_S
 from .priorities import USEFUL_FACTOR
 from .priorities import Timeliness
-from .ready import Ready
+from .ready import ReadyStep
 from .run_times import RunTimes
 
 SCALE_UP_S = 2.2
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen(slots=True)
-class Outlook:
+class DelayEstimate:
     """Queueing delays of a shard as estimated by its owner.
 
     :param within: delay for tenants within their fair shares of the pool.
@@ -65,7 +65,7 @@
 
 
 @attrs.frozen(slots=True)
-class PoolRoom:
+class PoolCapacity:
     """Number of VMs of a pool, and of those that it may grow to.
 
     :param vms: workers that accept tasks now.
@@ -90,20 +90,20 @@
         return round(SCALE_UP_S + left_s / max(self.vms, self.fleet), 3)
 
 
-def encode_outlook(outlook: Outlook) -> dict[str, t.Any]:
+def encode_delay_estimate(outlook: DelayEstimate) -> dict[str, t.Any]:
     """Encode an estimate as JSON; an empty backlog gives an empty object."""
-    return attrs.asdict(outlook) if outlook != Outlook() else {}
+    return attrs.asdict(outlook) if outlook != DelayEstimate() else {}
 
 
-def decode_outlook(raw: t.Mapping[str, t.Any]) -> Outlook:
-    """Decode the output of :func:`encode_outlook`.
+def decode_delay_estimate(raw: t.Mapping[str, t.Any]) -> DelayEstimate:
+    """Decode the output of :func:`encode_delay_estimate`.
 
     :raises KeyError: if a field is missing.
     :raises TypeError: if it has another form.
     """
     if not raw:
-        return Outlook()
-    return Outlook(
+        return DelayEstimate()
+    return DelayEstimate(
         QueueDelay(**raw["within"]),
         QueueDelay(**raw["beyond"]),
         tuple(raw["over"]),
@@ -111,12 +111,12 @@
     )
 
 
-def measure_outlook(
-    backlog: t.Iterable[Ready],
+def estimate_delays(
+    backlog: t.Iterable[ReadyStep],
     capacity: tuple[int, int],
-    pool: PoolRoom,
+    pool: PoolCapacity,
     run_times: RunTimes,
-) -> Outlook:
+) -> DelayEstimate:
     """Estimate the queueing delays of a shard.
 
     :param backlog: waiting tasks as ordered by the last scheduling pass.
@@ -134,18 +134,20 @@
             continue
         steps += 1
         factor = run_times.get_factor(item.job.submission.policy.queue, 1)
-        share_s = factor * measure_share(step, capacity) * step.estimate_ms / MS_PER_S
+        share_s = (
+            factor * get_worker_fraction(step, capacity) * step.estimate_ms / MS_PER_S
+        )
         key = (item.urgency.standing, item.beyond)
         work[key] = work.get(key, 0.0) + waiting * share_s
         if item.beyond:
             over[item.job.submission.tenant] = None
     if not pool.vms or not steps:
-        return Outlook()
+        return DelayEstimate()
     in_within = work.get((Timeliness.IN_TIME, False), 0.0)
     in_all = in_within + work.get((Timeliness.IN_TIME, True), 0.0)
     use_within = in_all + work.get((Timeliness.OF_USE, False), 0.0)
     use_all = use_within + work.get((Timeliness.OF_USE, True), 0.0)
-    return Outlook(
+    return DelayEstimate(
         QueueDelay(
             pool.estimate_min_wait(in_within), pool.estimate_min_wait(use_within)
         ),
@@ -159,18 +161,18 @@
 class OverloadRejection:
     """Why a job is rejected, and when its caller should retry.
 
-    :param line: estimated queueing delay of the job.
-    :param use_s: longest wait in seconds that leaves its result useful.
+    :param queue_delay: estimated queueing delay of the job.
+    :param slack_s: longest wait in seconds that leaves its result useful.
     :param retry_after_s: seconds after which the caller should retry.
     """
 
-    line: QueueDelay
-    use_s: float
+    queue_delay: QueueDelay
+    slack_s: float
     retry_after_s: int
 
 
 @attrs.define
-class Gate:
+class AdmissionController:
     """Admits or rejects the jobs that are submitted to one node.
 
     Retry times are staggered: rejected callers retry in the order in which they were
@@ -179,8 +181,8 @@
 
     _retry_backlogs: dict[str, tuple[float, float]] = attrs.field(factory=dict)
 
-    def judge(
-        self, submission: Submission, outlook: Outlook, nodes: int, now: float
+    def check(
+        self, submission: Submission, outlook: DelayEstimate, nodes: int, now: float
     ) -> OverloadRejection | None:
         """Check whether a job should be admitted.
 
@@ -196,21 +198,26 @@
             return None
         objective_s, critical_path_s = _get_objective(submission)
         delay = outlook.get_delay(submission.tenant)
-        use_s = USEFUL_FACTOR * objective_s - critical_path_s
-        if delay.in_time_s <= objective_s - critical_path_s or delay.of_use_s <= use_s:
+        slack_s = USEFUL_FACTOR * objective_s - critical_path_s
+        if (
+            delay.in_time_s <= objective_s - critical_path_s
+            or delay.of_use_s <= slack_s
+        ):
             return None
         shard = submission.policy.service
         last_s, at = self._retry_backlogs.get(shard, (0.0, now))
         # the backlog has drained since the last rejection
         behind_s = max(0.0, last_s - (now - at)) + outlook.job_s * max(1, nodes)
         self._retry_backlogs[shard] = (behind_s, now)
-        wait_s = delay.of_use_s - use_s + behind_s
+        wait_s = delay.of_use_s - slack_s + behind_s
         retry_after_s = min(max(math.ceil(wait_s), MIN_RETRY_S), MAX_RETRY_S)
-        return OverloadRejection(delay, use_s, retry_after_s)
+        return OverloadRejection(delay, slack_s, retry_after_s)
 
 
 def _get_objective(submission: Submission) -> tuple[float, float]:
     """Give objective and critical path of the declared run times, in seconds."""
-    critical_path_s = max(measure_tails(submission.steps), default=0.0) / MS_PER_S
+    critical_path_s = (
+        max(estimate_remaining_paths(submission.steps), default=0.0) / MS_PER_S
+    )
     policy = submission.policy
     return policy.stretch * critical_path_s + policy.slo_ms / MS_PER_S, critical_path_s
--- a/src/onyxgap/jobs/advice.py
+++ b/src/onyxgap/jobs/advice.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from .placing import Group
+from .placing import StepKey
 
 MAX_WORKERS_PER_REQUEST = 30
 """Workers in one request; the objective of a job allows for one such call per step."""
@@ -32,7 +32,7 @@
     valid_s: float
 
 
-class Adviser(t.Protocol):
+class PolicyClient(t.Protocol):
     """Client of the policy service."""
 
     async def advise(self, step: str, workers: t.Sequence[str]) -> Advice | None:
@@ -51,23 +51,23 @@
 
 
 @attrs.define
-class AdviceBook:
+class TicketCache:
     """Tickets of the steps of a shard, and the pending requests for them.
 
     :param wanted: pending requests: workers by step, the most urgent step first.
     """
 
-    wanted: dict[Group, tuple[str, ...]] = attrs.field(factory=dict)
-    _entries: dict[Group, _CachedAdvice] = attrs.field(factory=dict)
+    wanted: dict[StepKey, tuple[str, ...]] = attrs.field(factory=dict)
+    _entries: dict[StepKey, _CachedAdvice] = attrs.field(factory=dict)
 
-    def get_tickets(self, group: Group, now: float) -> t.Mapping[str, str] | None:
+    def get_tickets(self, group: StepKey, now: float) -> t.Mapping[str, str] | None:
         """Give the valid tickets of a step, or ``None`` if it has to request them."""
         entry = self._entries.get(group)
         if entry is None or now >= entry.expires_at:
             return None
         return entry.advice.tickets
 
-    def ask(self, group: Group, workers: t.Sequence[str]) -> None:
+    def request_tickets(self, group: StepKey, workers: t.Sequence[str]) -> None:
         """Add a request for tickets.
 
         :param group: job, occurrence and number of the step.
@@ -75,13 +75,13 @@
         """
         self.wanted[group] = tuple(workers[:MAX_WORKERS_PER_REQUEST])
 
-    def take_question(self) -> tuple[Group, tuple[str, ...]] | None:
+    def pop_request(self) -> tuple[StepKey, tuple[str, ...]] | None:
         """Remove and return the first pending request."""
         for group in self.wanted:
             return group, self.wanted.pop(group)
         return None
 
-    def note(self, group: Group, advice: Advice | None, now: float) -> None:
+    def store_advice(self, group: StepKey, advice: Advice | None, now: float) -> None:
         """Store a response, or record that there was none.
 
         :param group: job, occurrence and number of the step.
@@ -94,7 +94,7 @@
             advice, now + advice.valid_s - EXPIRY_MARGIN_S
         )
 
-    def drop(self, group: Group) -> None:
+    def remove_tickets(self, group: StepKey) -> None:
         """Remove the tickets of a step, one of which was refused."""
         self._entries.pop(group, None)
 
--- a/src/onyxgap/jobs/amounts.py
+++ b/src/onyxgap/jobs/amounts.py
@@ -43,11 +43,11 @@
             combine(self.accelerators, other.accelerators),
         )
 
-    def get_largest(self, other: "Amount") -> "Amount":
+    def get_elementwise_max(self, other: "Amount") -> "Amount":
         """Return the larger value of each resource."""
         return self._combine(other, max)
 
-    def get_smallest(self, other: "Amount") -> "Amount":
+    def get_elementwise_min(self, other: "Amount") -> "Amount":
         """Return the smaller value of each resource."""
         return self._combine(other, min)
 
@@ -66,11 +66,11 @@
         )
 
 
-NOTHING = Amount()
+ZERO_AMOUNT = Amount()
 UNLIMITED = Amount(NO_LIMIT, NO_LIMIT, NO_LIMIT)
 
 
-def measure_task(step: Step) -> Amount:
+def get_task_amount(step: Step) -> Amount:
     """Return the resources that a task of a step uses while it runs.
 
     Tasks that run on capacity left idle by others count for their tenant, too.
--- a/src/onyxgap/jobs/candidates.py
+++ b/src/onyxgap/jobs/candidates.py
@@ -10,12 +10,12 @@
 
 import attrs
 
-from .amounts import NOTHING
+from .amounts import ZERO_AMOUNT
 from .amounts import Amount
-from .crashes import Care
+from .crashes import IsolationLevel
 from .messages import Step
-from .placing import Group
 from .placing import Rank
+from .placing import StepKey
 from .placing import WorkerRecord
 from .placing import choose_worker
 from .placing import is_eligible
@@ -38,25 +38,27 @@
 
     records: t.Sequence[WorkerRecord]
     step: Step
-    step_key: Group
+    step_key: StepKey
     now: float
     _heap: list[tuple[Rank, WorkerRecord]] | None = None
     _last: WorkerRecord | None = None
 
     def choose(
-        self, avoid: t.Collection[str] = (), care: Care = Care.NONE
+        self,
+        avoid: t.Collection[str] = (),
+        isolation: IsolationLevel = IsolationLevel.NONE,
     ) -> WorkerRecord | None:
         """Choose the best worker for a task of the step.
 
         :param avoid: ids of the workers on which the task has failed.
-        :param care: isolation that the task needs.
+        :param isolation: isolation that the task needs.
         :returns: the worker, or ``None`` if no worker is eligible.
         """
-        if avoid or care is not Care.NONE:
+        if avoid or isolation is not IsolationLevel.NONE:
             # rare, and the workers rank differently for such a task
             self._heap = None
             return choose_worker(
-                self.records, self.step, self.step_key, self.now, avoid, care
+                self.records, self.step, self.step_key, self.now, avoid, isolation
             )
         if self._heap is None:
             self._heap = [
@@ -80,7 +82,7 @@
 
 
 @attrs.define
-class PlanRoom:
+class PassCapacity:
     """Free capacity that is left during one scheduling pass.
 
     Free capacity only shrinks during a pass. If a step could not be placed, no later
@@ -94,10 +96,10 @@
     now: float
     _unplaceable: list[Step] = attrs.field(factory=list)
 
-    def rank(
+    def build_candidates(
         self,
         step: Step,
-        step_key: Group,
+        step_key: StepKey,
         allowed: t.Collection[str] | None = None,
     ) -> Candidates:
         """Return the candidate workers for the tasks of a step.
@@ -111,17 +113,17 @@
             records = [item for item in records if item.entry.worker_id in allowed]
         return Candidates(records, step, step_key, self.now)
 
-    def measure_free(self) -> Amount:
+    def get_free_capacity(self) -> Amount:
         """Return the total free capacity of all workers."""
-        free = NOTHING
+        free = ZERO_AMOUNT
         for record in self.records:
             entry = record.entry
             capacity = Amount(entry.cpu, entry.memory_mb, entry.accelerators)
             used = Amount(record.cpu_used, record.memory_used, record.accelerators_used)
-            free += (capacity - used).get_largest(NOTHING)
+            free += (capacity - used).get_elementwise_max(ZERO_AMOUNT)
         return free
 
-    def note_refused(self, step: Step) -> None:
+    def note_unplaceable(self, step: Step) -> None:
         """Record that no worker has capacity for a step.
 
         Ignores steps with placement constraints, which may not be placed for other
@@ -130,7 +132,7 @@
         if not step.requires and not step.anti_affinity:
             self._unplaceable.append(step)
 
-    def is_refused(self, step: Step) -> bool:
+    def is_unplaceable(self, step: Step) -> bool:
         """Return whether a step needs at least as much as one that was not placed."""
         return any(needs_as_much(step, other) for other in self._unplaceable)
 
--- a/src/onyxgap/jobs/configurations.py
+++ b/src/onyxgap/jobs/configuration_encoding.py
@@ -69,7 +69,7 @@
 
 
 @attrs.define
-class Assembly:
+class ConfigurationAssembler:
     """Assembles a configuration from parts that other nodes sent.
 
     Only parts of the newest version seen are kept. Parts of one version may come from
--- a/src/onyxgap/jobs/crashes.py
+++ b/src/onyxgap/jobs/crashes.py
@@ -15,9 +15,9 @@
 
 import attrs
 
-PROOF_MS = 100.0
+START_CRASH_WINDOW_MS = 100.0
 """Time on a worker after which the start of a run is known not to have crashed it."""
-SETTLED_MS = 300.0
+CRASH_WINDOW_MS = 300.0
 """Time on a worker after which a run clears its task of earlier crashes. A fully
 isolated task has its worker to itself for that time."""
 START_CRASH_BLAME = 2
@@ -48,14 +48,14 @@
 """Bounds how many workers a task crashes while other workers crash by themselves."""
 
 
-class Care(enum.Enum):
+class IsolationLevel(enum.Enum):
     """Which runs a suspected task may share its worker with."""
 
     NONE = "none"
-    APART = "apart"
-    """All runs of other jobs there must have survived :data:`PROOF_MS`."""
-    ALONE = "alone"
-    """All runs of other jobs there must have survived :data:`SETTLED_MS`."""
+    PARTIAL = "apart"
+    """All runs of other jobs there must have survived :data:`START_CRASH_WINDOW_MS`."""
+    FULL = "alone"
+    """All runs of other jobs there must have survived :data:`CRASH_WINDOW_MS`."""
 
 
 @attrs.frozen(slots=True)
@@ -75,16 +75,16 @@
     @property
     def young(self) -> bool:
         """Whether the start of the run may have crashed the worker."""
-        return self.survived_ms < PROOF_MS
+        return self.survived_ms < START_CRASH_WINDOW_MS
 
 
 @attrs.frozen(slots=True)
-class Suspicion:
+class LossHistory:
     """A task's runs that were lost with their workers.
 
     :param losses: number of lost runs.
     :param young_losses: number of them that may have crashed the worker by their start.
-    :param blame: total blame for the lost runs; see :func:`weigh_blame`.
+    :param blame: total blame for the lost runs; see :func:`assign_blame`.
     """
 
     losses: int = 0
@@ -105,17 +105,17 @@
         )
 
     @property
-    def care(self) -> Care:
+    def isolation(self) -> IsolationLevel:
         """Isolation that the task needs on its next worker."""
         if self.losses >= FULL_ISOLATION_LOSSES:
-            return Care.ALONE
-        return Care.APART if self.losses else Care.NONE
+            return IsolationLevel.FULL
+        return IsolationLevel.PARTIAL if self.losses else IsolationLevel.NONE
 
-    def is_proved(self, extra_crashes: int = 0) -> bool:
+    def causes_crashes(self, extra_crashes: int = 0) -> bool:
         """Return whether the task is considered the cause of its workers' crashes.
 
         :param extra_crashes: crashes required in addition; see
-            :meth:`CrashLog.get_doubt`.
+            :meth:`CrashLog.get_extra_crashes`.
         """
         if self.blame >= BLAME_LIMIT + extra_crashes * START_CRASH_BLAME:
             return True
@@ -125,7 +125,7 @@
         )
 
 
-NO_SUSPICION = Suspicion()
+NO_LOSSES = LossHistory()
 """History of a task that has lost no runs since it was last cleared."""
 
 
@@ -151,7 +151,7 @@
             self._crashes.popleft()
         self._crashes.append((now, frozenset(job_ids)))
 
-    def get_doubt(self, job_id: str) -> int:
+    def get_extra_crashes(self, job_id: str) -> int:
         """Return how many extra crashes are required before a job is given up.
 
         :param job_id: the job.
@@ -160,12 +160,12 @@
         return min(unrelated // UNRELATED_CRASHES_PER_EXTRA, MAX_EXTRA_CRASHES)
 
 
-def weigh_blame(runs: t.Sequence[LostRun]) -> list[int]:
+def assign_blame(runs: t.Sequence[LostRun]) -> list[int]:
     """Assign blame for the crash of a worker to the runs on it.
 
-    Suspects are the runs not known to have survived :data:`PROOF_MS`.
+    Suspects are the runs not known to have survived :data:`START_CRASH_WINDOW_MS`.
     If there are none, suspects are those not known to have survived
-    :data:`SETTLED_MS`. They are blamed only if all of them belong to one job, each
+    :data:`CRASH_WINDOW_MS`. They are blamed only if all of them belong to one job, each
     with the full amount, since a job is given up as a whole. An unconfirmed run may
     never have reached the worker: as a suspect it keeps other jobs from being blamed,
     but it gets no blame itself.
@@ -174,7 +174,7 @@
     :returns: the blame for each run, in the order of the runs.
     """
     young = [run for run in runs if run.young]
-    suspects = young or [run for run in runs if run.survived_ms < SETTLED_MS]
+    suspects = young or [run for run in runs if run.survived_ms < CRASH_WINDOW_MS]
     if len({run.job_id for run in suspects}) != 1:
         return [0] * len(runs)
     weight = START_CRASH_BLAME if young else LATE_CRASH_BLAME
--- a/src/onyxgap/jobs/desk.py
+++ b/src/onyxgap/jobs/desk.py
@@ -8,9 +8,9 @@
 from .messages import JobState
 from .messages import Submission
 from .routing import Route
-from .tenants import ANYONE
+from .tenants import ANONYMOUS
 from .tenants import Caller
-from .tenants import KeyFault
+from .tenants import KeyRejection
 
 
 class SubmitOutcome(enum.Enum):
@@ -54,7 +54,7 @@
     OTHER_TENANT = "the job belongs to another tenant"
 
 
-class Desk(t.Protocol):
+class JobApi(t.Protocol):
     """Answers requests of callers; the HTTP front end only translates them."""
 
     async def find_route(self, host: str, path: str) -> Route | None | Unavailable:
@@ -62,7 +62,7 @@
 
     async def identify(
         self, route: Route, keys: t.Sequence[bytes], job_id: str
-    ) -> Caller | KeyFault | Unavailable:
+    ) -> Caller | KeyRejection | Unavailable:
         """Identify the caller of a request by its keys."""
 
     def get_max_body_bytes(self) -> int:
@@ -72,12 +72,12 @@
         """Submit a job; the result tells whether it was accepted."""
 
     async def get_state(
-        self, route: Route, job_id: str, caller: Caller = ANYONE
+        self, route: Route, job_id: str, caller: Caller = ANONYMOUS
     ) -> JobState | None | Unavailable | Denied:
         """Return the state of a job, ``None`` if there is no such job."""
 
     async def cancel(
-        self, route: Route, job_id: str, caller: Caller = ANYONE
+        self, route: Route, job_id: str, caller: Caller = ANONYMOUS
     ) -> bool | Unavailable | Denied:
         """Cancel a job; returns false if there is no such job."""
 
--- a/src/onyxgap/jobs/encoding.py
+++ b/src/onyxgap/jobs/encoding.py
@@ -5,8 +5,8 @@
 import attrs
 import orjson
 
-from .crashes import NO_SUSPICION
-from .crashes import Suspicion
+from .crashes import NO_LOSSES
+from .crashes import LossHistory
 from .job import Job
 from .job import Task
 from .job import TaskPhase
@@ -27,14 +27,14 @@
         task.worker_id,
         task.failures,
         task.checkpoint,
-        *_encode_loss_history(task.suspicion),
+        *_encode_loss_history(task.loss_history),
     ]
 
 
-def _encode_loss_history(suspicion: Suspicion) -> tuple[int, ...]:
-    if suspicion is NO_SUSPICION:
+def _encode_loss_history(loss_history: LossHistory) -> tuple[int, ...]:
+    if loss_history is NO_LOSSES:
         return ()
-    return attrs.astuple(suspicion)
+    return attrs.astuple(loss_history)
 
 
 def encode_progress(job: Job) -> bytes:
@@ -82,7 +82,7 @@
     phase, task.run, task.worker_id, task.failures, task.checkpoint, *losses = raw
     task.phase = TaskPhase(phase)
     if losses:
-        task.suspicion = Suspicion(*losses)
+        task.loss_history = LossHistory(*losses)
 
 
 def restore_job(submission: Submission, value: bytes | None) -> Job:
--- a/src/onyxgap/jobs/fair_shares.py
+++ b/src/onyxgap/jobs/fair_shares.py
@@ -11,13 +11,13 @@
 
 import attrs
 
-from .amounts import NOTHING
+from .amounts import ZERO_AMOUNT
 from .amounts import Amount
-from .amounts import measure_task
+from .amounts import get_task_amount
 from .priorities import MS_PER_S
 from .priorities import Timeliness
-from .ready import Ready
-from .shares import measure_fraction
+from .ready import ReadyStep
+from .shares import compute_dominant_fraction
 
 MIN_WEIGHT = 1e-3
 """Weight of a tenant without one: it gets what others leave, and little else."""
@@ -56,7 +56,7 @@
 
 
 @attrs.define
-class PoolDemand:
+class PoolUsage:
     """Usage of one pool by tenant, as of a scheduling pass.
 
     :param capacity: total capacity of the pool's workers.
@@ -77,7 +77,7 @@
 
         The shared capacity is that of this pool and what tenants use in other pools.
         """
-        return measure_fraction(amount, self._shared)
+        return compute_dominant_fraction(amount, self._shared)
 
     def compute_shares(
         self,
@@ -90,20 +90,22 @@
         :param find_weight: gives a tenant's weight.
         :returns: share by tenant, or ``None`` if the pool has capacity for all.
         """
-        total = sum([*self.used.values(), *waiting.values()], NOTHING)
+        total = sum([*self.used.values(), *waiting.values()], ZERO_AMOUNT)
         if total.fits(self.capacity):
             return None
         demands = {}
         for tenant in sorted({*self.used, *waiting}):
-            elsewhere = self.used_elsewhere.get(tenant, NOTHING)
-            here = self.used.get(tenant, NOTHING) + waiting.get(tenant, NOTHING)
+            elsewhere = self.used_elsewhere.get(tenant, ZERO_AMOUNT)
+            here = self.used.get(tenant, ZERO_AMOUNT) + waiting.get(tenant, ZERO_AMOUNT)
             demands[tenant] = TenantDemand(
                 max(find_weight(tenant), MIN_WEIGHT), self.measure(elsewhere + here)
             )
         return share_by_weight(demands)
 
 
-def can_all_be_in_time(ready: t.Sequence[Ready], usage: PoolDemand, now: float) -> bool:
+def can_meet_all_objectives(
+    ready: t.Sequence[ReadyStep], usage: PoolUsage, now: float
+) -> bool:
     """Tell whether ordering by urgency alone keeps in time all steps that can be.
 
     A full pool turns over once per run time of its tasks. While that suffices, each job
@@ -113,23 +115,23 @@
     :param usage: usage of the pool.
     :param now: monotonic seconds.
     """
-    used = sum(usage.used.values(), NOTHING)
-    free = max(0.0, 1.0 - measure_fraction(used, usage.capacity))
+    used = sum(usage.used.values(), ZERO_AMOUNT)
+    free = max(0.0, 1.0 - compute_dominant_fraction(used, usage.capacity))
     work_s = 0.0
     for item in ready:
         step = item.job.submission.steps[item.step]
         if item.urgency.late or step.long_running:
             continue
         run_s = step.estimate_ms / MS_PER_S
-        work_s += measure_fraction(_get_amount(item), usage.capacity) * run_s
+        work_s += compute_dominant_fraction(_get_amount(item), usage.capacity) * run_s
         if work_s > max(0.0, item.urgency.latest_start - now) + free * run_s:
             return False
     return True
 
 
-def mark_beyond(
-    ready: t.Sequence[Ready],
-    usage: PoolDemand,
+def mark_steps_over_share(
+    ready: t.Sequence[ReadyStep],
+    usage: PoolUsage,
     find_weight: t.Callable[[str], float],
 ) -> int:
     """Mark the steps that are over their tenants' shares.
@@ -146,13 +148,14 @@
     for item in ready:
         tenant = item.job.submission.tenant
         if tenant and item.urgency.standing is not Timeliness.NO_USE:
-            waiting[tenant] = waiting.get(tenant, NOTHING) + _get_amount(item)
+            waiting[tenant] = waiting.get(tenant, ZERO_AMOUNT) + _get_amount(item)
     shares = usage.compute_shares(waiting, find_weight)
     if shares is None:
         return 0
     taken = {
         tenant: usage.measure(
-            usage.used_elsewhere.get(tenant, NOTHING) + usage.used.get(tenant, NOTHING)
+            usage.used_elsewhere.get(tenant, ZERO_AMOUNT)
+            + usage.used.get(tenant, ZERO_AMOUNT)
         )
         for tenant in shares
     }
@@ -167,5 +170,5 @@
     return marked
 
 
-def _get_amount(item: Ready) -> Amount:
-    return measure_task(item.job.submission.steps[item.step]) * len(item.tasks)
+def _get_amount(item: ReadyStep) -> Amount:
+    return get_task_amount(item.job.submission.steps[item.step]) * len(item.tasks)
--- a/src/onyxgap/jobs/health.py
+++ b/src/onyxgap/jobs/health.py
@@ -72,7 +72,7 @@
 
 
 @attrs.define
-class WatchedStore:
+class MonitoredStore:
     """A store that records its answers and failures in a :class:`StoreHealth`.
 
     :param store: the store.
@@ -100,7 +100,7 @@
         outcome = await self.store.write(batch, timeout_s)
         now = self.clocks.read_monotonic()
         if isinstance(outcome, OutcomeUnknown):
-            self.timeout.note_silence()
+            self.timeout.record_timeout()
         if isinstance(outcome, Applied | Conflict):
             self.timeout.note_answer(now - started)
             self.health.note_answer(now)
--- a/src/onyxgap/jobs/holds.py
+++ b/src/onyxgap/jobs/holds.py
@@ -17,7 +17,7 @@
 """Lag below which a process keeps up: a few iterations of the event loop."""
 PAUSE_PER_LAG = 2.0
 """Seconds of pause for each second of event loop lag."""
-MOST_PAUSE_S = 0.3
+MAX_PAUSE_S = 0.3
 """As long as :data:`BUSY_WAIT_S`; leases last 5 s."""
 
 
@@ -33,7 +33,7 @@
     """
     if lag_s < MIN_LAG_S:
         return 0.0
-    return min(lag_s * PAUSE_PER_LAG, MOST_PAUSE_S)
+    return min(lag_s * PAUSE_PER_LAG, MAX_PAUSE_S)
 
 
 def choose_hold_wait(record: WorkerRecord) -> float:
--- a/src/onyxgap/jobs/job.py
+++ b/src/onyxgap/jobs/job.py
@@ -5,8 +5,8 @@
 
 import attrs
 
-from .crashes import NO_SUSPICION
-from .crashes import Suspicion
+from .crashes import NO_LOSSES
+from .crashes import LossHistory
 from .messages import EndedTask
 from .messages import EndKind
 from .messages import JobState
@@ -36,7 +36,7 @@
     :param failures: number of runs that ended as failed.
     :param checkpoint: newest checkpoint, or empty.
     :param percent: share of the work that is done according to the last report.
-    :param figure: figure of the last report; see :class:`RunningTask`.
+    :param measurement: figure of the last report; see :class:`RunningTask`.
     :param started_at: monotonic seconds when the start order was placed or sent, 0 for
         an order of an earlier owner.
     :param sent: whether the start order was sent; it is stored before that.
@@ -52,11 +52,11 @@
     :param not_before: monotonic seconds before which the task is not tried again.
     :param pace: percent of full speed that the run was last told to keep.
     :param progress: progress of the current run according to the reports.
-    :param barred_at: for a run that a previous incarnation of its worker was
+    :param start_ruled_out_at: for a run that a previous incarnation of its worker was
         ordered to start: monotonic seconds when the present incarnation confirmed that
         it will not start the run, or infinity before. ``None`` for any other run.
     :param moves: number of times that the task was moved off a stalled worker.
-    :param suspicion: runs of the task that were lost with their workers.
+    :param loss_history: runs of the task that were lost with their workers.
     """
 
     task_id: TaskId
@@ -66,7 +66,7 @@
     failures: int = 0
     checkpoint: str = ""
     percent: int = 0
-    figure: float = 0.0
+    measurement: float = 0.0
     started_at: float = 0.0
     sent: bool = False
     start_deadline_ms: float = 0.0
@@ -80,8 +80,8 @@
     pace: int = 100
     progress: Progress | None = None
     moves: int = 0
-    barred_at: float | None = None
-    suspicion: Suspicion = NO_SUSPICION
+    start_ruled_out_at: float | None = None
+    loss_history: LossHistory = NO_LOSSES
 
     @property
     def placed(self) -> bool:
@@ -106,7 +106,7 @@
         self.confirmed_ms = None
         self.listed_ms = 0.0
         self.percent = 0
-        self.figure = 0.0
+        self.measurement = 0.0
         self.stopping = False
         self.stop_sent_at = -1e9
         self.pace = 100
@@ -125,7 +125,7 @@
         if self.confirmed_ms is None:
             self.confirmed_ms = clock_ms
 
-    def list_again(self, now: float, clock_ms: float) -> None:
+    def note_listed(self, now: float, clock_ms: float) -> None:
         """Record that a report lists the run.
 
         :param now: monotonic seconds.
@@ -135,22 +135,22 @@
         assert self.confirmed_ms is not None
         self.listed_ms = max(self.listed_ms, clock_ms - self.confirmed_ms)
 
-    def measure_stand_ms(self, heard_ms: float) -> float:
+    def get_survived_ms(self, last_clock_ms: float) -> float:
         """Return for how long the run is known not to have crashed its worker.
 
-        :param heard_ms: latest known reading of the worker's clock.
+        :param last_clock_ms: latest known reading of the worker's clock.
         :returns: milliseconds.
         """
         if self.confirmed_ms is None:
             return self.listed_ms
-        return max(self.listed_ms, heard_ms - self.confirmed_ms)
+        return max(self.listed_ms, last_clock_ms - self.confirmed_ms)
 
     def release(self) -> None:
         """Record that no run of the task is on a worker any more."""
         self.phase = TaskPhase.WAITING
         self.worker_id = ""
         self.stopping = False
-        self.barred_at = None
+        self.start_ruled_out_at = None
         self.percent = 0
 
 
@@ -201,14 +201,14 @@
     :param next_occurrence: number of the next occurrence to open.
     :param started: whether a worker has confirmed, listed or ended a run of any of its
         tasks. An order that is only placed or sent may never reach its worker.
-    :param seen_at: monotonic seconds of the acceptance, by the owner's clock.
+    :param accepted_at: monotonic seconds of the acceptance, by the owner's clock.
     :param placed_at: monotonic seconds when this owner placed the first task of the
         job, or ``None``.
     :param beyond: whether the tenant was over its rate when the job was accepted.
     :param capped_at: monotonic seconds since when a step of the job waits for its
         tenant's cap, or ``None``.
-    :param chain_ms: estimated run time of the critical path.
-    :param tails_ms: estimated run time of the critical path from the start of
+    :param critical_path_ms: estimated run time of the critical path.
+    :param remaining_path_ms: estimated run time of the critical path from the start of
         each step to the end of the job.
     """
 
@@ -219,19 +219,19 @@
     finished: int = 0
     next_occurrence: int = 0
     started: bool = False
-    seen_at: float = 0.0
+    accepted_at: float = 0.0
     placed_at: float | None = None
     beyond: bool = False
     capped_at: float | None = None
-    chain_ms: float = 0.0
-    tails_ms: tuple[float, ...] = ()
+    critical_path_ms: float = 0.0
+    remaining_path_ms: tuple[float, ...] = ()
 
     def __attrs_post_init__(self) -> None:
-        self.tails_ms = measure_tails(self.submission.steps)
-        self.chain_ms = max(self.tails_ms, default=0.0)
+        self.remaining_path_ms = estimate_remaining_paths(self.submission.steps)
+        self.critical_path_ms = max(self.remaining_path_ms, default=0.0)
 
     @property
-    def wanted_occurrences(self) -> int:
+    def total_occurrences(self) -> int:
         """Total number of occurrences."""
         return max(1, self.submission.times)
 
@@ -249,7 +249,7 @@
         """Return the step of a task."""
         return self.submission.steps[task.task_id.step]
 
-    def list_siblings(self, task: Task) -> list[Task]:
+    def list_step_tasks(self, task: Task) -> list[Task]:
         """Return all tasks of the step of a task, including the task itself."""
         return self.occurrences[task.task_id.occurrence].steps[task.task_id.step]
 
@@ -261,14 +261,14 @@
                     if task.placed:
                         yield task
 
-    def open_due(self, wall_ms: float) -> bool:
+    def open_due_occurrences(self, wall_ms: float) -> bool:
         """Open all occurrences that are due.
 
         :param wall_ms: Unix milliseconds.
         :returns: whether any occurrence was opened.
         """
         opened = False
-        while self.next_occurrence < self.wanted_occurrences:
+        while self.next_occurrence < self.total_occurrences:
             if self.submission.times and wall_ms < self.get_due_ms():
                 break
             number = self.next_occurrence
@@ -326,7 +326,7 @@
         if occurrence.done:
             del self.occurrences[occurrence.number]
             self.finished += 1
-        if self.finished == self.wanted_occurrences:
+        if self.finished == self.total_occurrences:
             self.state = JobState.SUCCEEDED
 
     def _finish_gang(self, task: Task) -> None:
@@ -335,7 +335,7 @@
             self._finish(member)
 
 
-def measure_tails(steps: t.Sequence[Step]) -> tuple[float, ...]:
+def estimate_remaining_paths(steps: t.Sequence[Step]) -> tuple[float, ...]:
     """Estimate the critical path from the start of each step to the end of the job.
 
     :param steps: steps in topological order: each depends only on earlier ones.
--- a/src/onyxgap/jobs/lives.py
+++ b/src/onyxgap/jobs/lives.py
@@ -8,7 +8,7 @@
 import enum
 
 
-class LifeSign(enum.Enum):
+class IncarnationMatch(enum.Enum):
     """Incarnation that a message comes from, compared with the known one."""
 
     SAME = "same"
@@ -16,7 +16,7 @@
     FORMER = "former"
 
 
-def compare_life(known: int, told: int) -> LifeSign:
+def compare_incarnations(known: int, told: int) -> IncarnationMatch:
     """Compare the start time in a message with the known start time of the worker.
 
     If either time is missing, the message counts as one of the known incarnation.
@@ -25,5 +25,5 @@
     :param told: Unix milliseconds, 0 if the message has no start time.
     """
     if not known or not told or known == told:
-        return LifeSign.SAME
-    return LifeSign.LATER if told > known else LifeSign.FORMER
+        return IncarnationMatch.SAME
+    return IncarnationMatch.LATER if told > known else IncarnationMatch.FORMER
--- a/src/onyxgap/jobs/load.py
+++ b/src/onyxgap/jobs/load.py
@@ -4,10 +4,10 @@
 from .job import Task
 from .job import TaskPhase
 from .messages import Step
-from .workers import MS
+from .workers import MS_PER_S
 
 
-def measure_share(step: Step, capacity: tuple[int, int]) -> float:
+def get_worker_fraction(step: Step, capacity: tuple[int, int]) -> float:
     """Give the fraction of a worker that a task occupies.
 
     :param step: its step.
@@ -20,20 +20,20 @@
     return max(share, step.memory_mb / memory_mb)
 
 
-def measure_work(job: Job, capacity: tuple[int, int]) -> float:
+def estimate_vm_seconds(job: Job, capacity: tuple[int, int]) -> float:
     """Estimate the work of a job in VM seconds, without its long-running steps.
 
     :param job: the job; for a scheduled job, the result covers one occurrence.
     :param capacity: millicores and MB of memory of a worker.
     """
     return sum(
-        step.count * measure_share(step, capacity) * step.estimate_ms / MS
+        step.count * get_worker_fraction(step, capacity) * step.estimate_ms / MS_PER_S
         for step in job.submission.steps
         if not step.long_running
     )
 
 
-def get_demand(step: Step, task: Task, unplaced_kind: str) -> str:
+def get_load_kind(step: Step, task: Task, unplaced_kind: str) -> str:
     """Name the total of a load report that a task counts towards.
 
     :param step: the task's step.
--- a/src/onyxgap/jobs/members.py
+++ b/src/onyxgap/jobs/members.py
@@ -45,7 +45,7 @@
         return Member(value.decode("ascii", "replace"))
 
 
-def is_weak(memory_mb: int, members: t.Iterable[Member]) -> bool:
+def is_small_vm(memory_mb: int, members: t.Iterable[Member]) -> bool:
     """Return whether a VM is much smaller than the largest one of all nodes.
 
     :param memory_mb: memory of the VM in MB, 0 if unknown.
@@ -55,7 +55,7 @@
     return _is_small(memory_mb, largest)
 
 
-def list_stronger(node: str, members: t.Mapping[str, Member]) -> list[str]:
+def list_large_vm_nodes(node: str, members: t.Mapping[str, Member]) -> list[str]:
     """Return the other nodes that accept notices and whose VMs are not small.
 
     :param node: name of the node to exclude.
--- a/src/onyxgap/jobs/messages.py
+++ b/src/onyxgap/jobs/messages.py
@@ -169,14 +169,14 @@
     :param run: number of the run.
     :param checkpoint: latest checkpoint, or empty.
     :param percent: work done, in percent; 100 for a serving task that is serving.
-    :param figure: tail latency in ms of a serving task, CPU use of any other.
+    :param measurement: tail latency in ms of a serving task, CPU use of any other.
     """
 
     task: TaskId
     run: int
     checkpoint: str
     percent: int
-    figure: float = 0.0
+    measurement: float = 0.0
 
 
 @attrs.frozen(slots=True)
--- a/src/onyxgap/jobs/ownership.py
+++ b/src/onyxgap/jobs/ownership.py
@@ -12,17 +12,17 @@
 
 from .tables import OwnerRow
 
-SILENCE_S = 2.2
+OWNER_TIMEOUT_S = 2.2
 """Time without a renewal after which an owner counts as failed. Owners renew their row
 every 0.7 s, so three consecutive renewals must be missing."""
 LATENCY_FACTOR = 8.0
-"""Extension of :data:`SILENCE_S`, in multiples of the store's latency. In a slow
+"""Extension of :data:`OWNER_TIMEOUT_S`, in multiples of the store's latency. In a slow
 store, a renewal takes several attempts of the owner, one after the other in the shard's
 partition, and a read by the other nodes. Claims would queue in that partition, too."""
 CLAIM_BACKOFF_S = 0.8
 """Delay before a node retries a failed claim. A slow store takes 0.3 s for each
 transaction of a partition and rejects transactions that wait for more than 1 s."""
-SPREAD_S = 0.5
+CLAIM_JITTER_S = 0.5
 """Range of the delay that differs between nodes, so that one node claims first."""
 HAND_OVER_VALID_S = 1.0
 """Time for which a hand-over notice is valid. An owner that cannot reach the store
@@ -97,7 +97,7 @@
             return None
         return self.load_report
 
-    def note_hand_over(self, now: float) -> "OwnerView":
+    def record_hand_over(self, now: float) -> "OwnerView":
         """Return the view after a hand-over notice of the owner.
 
         :param now: monotonic seconds.
@@ -131,7 +131,7 @@
     :param boot: unique id of the process.
     :param shard: the shard.
     """
-    return SPREAD_S * (zlib.crc32(f"{boot}/{shard}".encode()) % 1000) / 1000
+    return CLAIM_JITTER_S * (zlib.crc32(f"{boot}/{shard}".encode()) % 1000) / 1000
 
 
 @attrs.frozen(slots=True)
@@ -182,7 +182,7 @@
     if row.node == claimant.node and row.boot != claimant.boot:
         # the owner was a previous process of this node, which no longer exists
         return view.changed_at + FORMER_SHARD_DELAY_S * claimant.yields
-    timeout_s = SILENCE_S + LATENCY_FACTOR * claimant.latency_s
+    timeout_s = OWNER_TIMEOUT_S + LATENCY_FACTOR * claimant.latency_s
     return max(view.changed_at, store_reachable_since) + timeout_s + delay
 
 
--- a/src/onyxgap/jobs/passing.py
+++ b/src/onyxgap/jobs/passing.py
@@ -72,7 +72,7 @@
 """Outcome of a call that the other node could not answer and did not begin."""
 
 
-class PassFailure(enum.Enum):
+class ForwardFailure(enum.Enum):
     """How far a forwarded call without an answer got."""
 
     NOT_SENT = "not-sent"
@@ -87,7 +87,7 @@
 
     async def ask(
         self, address: str, call: PassedCall, timeout_s: float
-    ) -> PassedAnswer | PassFailure:
+    ) -> PassedAnswer | ForwardFailure:
         """Forward a call to a node; failures are returned, not raised."""
 
     async def run(
@@ -106,9 +106,9 @@
 
     async def ask(
         self, address: str, call: PassedCall, timeout_s: float
-    ) -> PassedAnswer | PassFailure:
+    ) -> PassedAnswer | ForwardFailure:
         """Return that the call was not sent."""
-        return PassFailure.NOT_SENT
+        return ForwardFailure.NOT_SENT
 
     async def run(
         self, answer: t.Callable[[PassedCall], t.Awaitable[PassedAnswer]]
@@ -117,7 +117,7 @@
 
 
 @attrs.define
-class Helpers:
+class PeerSelector:
     """Selects the nodes to which calls are forwarded.
 
     :param node: name of this node.
@@ -139,7 +139,7 @@
         :returns: addresses in the order in which to ask them; empty while the store
             counts as unreachable.
         """
-        if self.is_hopeless(now):
+        if self.is_store_unreachable(now):
             return []
         addresses = [
             member.call_address
@@ -150,19 +150,19 @@
         ]
         return self.sample(addresses, min(MAX_PEERS_PER_CALL, len(addresses)))
 
-    def is_hopeless(self, now: float) -> bool:
+    def is_store_unreachable(self, now: float) -> bool:
         """Return whether the store counts as unreachable for all nodes.
 
         :param now: monotonic seconds.
         """
         return now < self._unreachable_until
 
-    def note_able(self, address: str) -> None:
+    def record_success(self, address: str) -> None:
         """Record that a node answered a forwarded call."""
         self._retry_at.pop(address, None)
         self._consecutive_failures = 0
 
-    def note_unable(self, address: str, now: float) -> None:
+    def record_failure(self, address: str, now: float) -> None:
         """Record that a node could not answer a forwarded call.
 
         :param address: address of the node.
@@ -186,7 +186,7 @@
 """Outcomes that hold regardless of the outcome of earlier attempts."""
 
 
-def join_outcomes(earlier: SubmitOutcome, later: SubmitOutcome) -> SubmitOutcome:
+def merge_outcomes(earlier: SubmitOutcome, later: SubmitOutcome) -> SubmitOutcome:
     """Return the combined outcome of two attempts to submit one job.
 
     A refusal means that the job will never run, so it does not hold if an earlier
--- a/src/onyxgap/jobs/placing.py
+++ b/src/onyxgap/jobs/placing.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from .crashes import Care
+from .crashes import IsolationLevel
 from .job import Task
 from .messages import Step
 from .messages import TaskId
@@ -19,7 +19,7 @@
 from .messages import WorkerState
 from .workers import WorkerClock
 
-Group = tuple[str, int, int]
+StepKey = tuple[str, int, int]
 """Step key: job id, number of the occurrence and number of the step."""
 Rank = tuple[bool, bool, int, bool, float, str]
 """Sort key of a worker for a task, unique by its last item; see :func:`rank_worker`."""
@@ -41,22 +41,22 @@
     :param accelerators_used: number of accelerators of these runs.
     :param finite_runs: number of these runs that are not of long-running steps.
     :param present: number of these runs by step key.
-    :param unproved: tasks that may still crash the worker by their start.
-    :param unsettled: tasks that may still be the cause of a crash of the worker.
+    :param in_start_crash_window: tasks that may still crash the worker by their start.
+    :param in_crash_window: tasks that may still be the cause of a crash of the worker.
     :param isolated: tasks beside which no task of another job is started.
     :param seen: sequence number of the newest ended run that was processed.
     :param acknowledged: sequence number of the newest ended run that is stored.
-    :param findings: number of times in a row that the worker was found slow.
-    :param leaving: tasks to move, since the worker is slow or stalled.
+    :param slow_streak: number of times in a row that the worker was found slow.
+    :param tasks_to_move: tasks to move, since the worker is slow or stalled.
     :param strikes: first-attempt failures of tasks since the last success.
     :param blocked_until: monotonic seconds before which no task is placed there.
-    :param room_until: monotonic seconds until which the capacity told in the
+    :param capacity_valid_until: monotonic seconds until which the capacity told in the
         registration may be relied on.
     :param cordoned: whether the worker is to be drained.
     :param due: whether its VM is due for maintenance.
     :param reserved: whether its free capacity is kept for a serving or a suspected
         task in this scheduling pass.
-    :param heard_ms: latest reading of the worker's clock in any of its answers.
+    :param last_clock_ms: latest reading of the worker's clock in any of its answers.
     :param gone: whether this incarnation of the worker is known to have ended.
     :param born: Unix milliseconds of the start of the worker, 0 if not known.
     """
@@ -71,21 +71,21 @@
     memory_used: int = 0
     accelerators_used: int = 0
     finite_runs: int = 0
-    present: dict[Group, int] = attrs.field(factory=dict)
-    unproved: set[TaskId] = attrs.field(factory=set)
-    unsettled: set[TaskId] = attrs.field(factory=set)
+    present: dict[StepKey, int] = attrs.field(factory=dict)
+    in_start_crash_window: set[TaskId] = attrs.field(factory=set)
+    in_crash_window: set[TaskId] = attrs.field(factory=set)
     isolated: set[TaskId] = attrs.field(factory=set)
     seen: int = 0
     acknowledged: int = 0
-    findings: int = 0
-    leaving: list[Task] = attrs.field(factory=list)
+    slow_streak: int = 0
+    tasks_to_move: list[Task] = attrs.field(factory=list)
     strikes: int = 0
     blocked_until: float = 0.0
-    room_until: float = math.inf
+    capacity_valid_until: float = math.inf
     cordoned: bool = False
     due: bool = False
     reserved: bool = False
-    heard_ms: float = 0.0
+    last_clock_ms: float = 0.0
     gone: bool = False
     born: int = 0
 
@@ -99,7 +99,7 @@
             and not self.gone
             and self.failing_since is None
             and self.entry.state is WorkerState.READY
-            and self.blocked_until <= now < self.room_until
+            and self.blocked_until <= now < self.capacity_valid_until
         )
 
     def has_room(self, step: Step) -> bool:
@@ -112,7 +112,7 @@
             and self.accelerators_used + step.accelerators <= entry.accelerators
         )
 
-    def reserve(self, step: Step, step_key: Group) -> None:
+    def reserve(self, step: Step, step_key: StepKey) -> None:
         """Reserve the resources of a run.
 
         :param step: step of the run.
@@ -124,7 +124,7 @@
         self.finite_runs += not step.long_running
         self.present[step_key] = self.present.get(step_key, 0) + 1
 
-    def free(self, step: Step, step_key: Group) -> None:
+    def free(self, step: Step, step_key: StepKey) -> None:
         """Free the resources of a run; the reverse of :meth:`reserve`."""
         self.cpu_used -= 0 if step.fills else step.cpu
         self.memory_used -= step.memory_mb
@@ -134,41 +134,41 @@
         if not self.present[step_key]:
             del self.present[step_key]
 
-    def note_start(self, task: TaskId, care: Care) -> None:
+    def note_start(self, task: TaskId, isolation: IsolationLevel) -> None:
         """Record the start of a run, which may crash the worker.
 
         :param task: the task.
-        :param care: isolation that the task needs.
+        :param isolation: isolation that the task needs.
         """
-        self.unproved.add(task)
-        self.unsettled.add(task)
-        if care is not Care.NONE:
+        self.in_start_crash_window.add(task)
+        self.in_crash_window.add(task)
+        if isolation is not IsolationLevel.NONE:
             self.isolated.add(task)
 
-    def prove(self, task: TaskId, care: Care) -> None:
+    def end_start_crash_window(self, task: TaskId, isolation: IsolationLevel) -> None:
         """Record that the start of a run did not crash the worker."""
-        self.unproved.discard(task)
-        if care is not Care.ALONE:
+        self.in_start_crash_window.discard(task)
+        if isolation is not IsolationLevel.FULL:
             self.isolated.discard(task)
 
-    def settle(self, task: TaskId) -> None:
+    def end_crash_window(self, task: TaskId) -> None:
         """Record that a run has ended or can no longer be the cause of a crash."""
-        self.unproved.discard(task)
-        self.unsettled.discard(task)
+        self.in_start_crash_window.discard(task)
+        self.in_crash_window.discard(task)
         self.isolated.discard(task)
 
-    def meets_isolation(self, job_id: str, care: Care) -> bool:
+    def meets_isolation(self, job_id: str, isolation: IsolationLevel) -> bool:
         """Return whether a task may share the worker with the runs that are there.
 
         :param job_id: job of the task.
-        :param care: isolation that the task needs.
+        :param isolation: isolation that the task needs.
         """
         if any(task.job_id != job_id for task in self.isolated):
             return False
-        if care is Care.APART:
-            return all(task.job_id == job_id for task in self.unproved)
-        if care is Care.ALONE:
-            return all(task.job_id == job_id for task in self.unsettled)
+        if isolation is IsolationLevel.PARTIAL:
+            return all(task.job_id == job_id for task in self.in_start_crash_window)
+        if isolation is IsolationLevel.FULL:
+            return all(task.job_id == job_id for task in self.in_crash_window)
         return True
 
     def count_present(self) -> int:
@@ -183,9 +183,9 @@
 def is_eligible(
     worker: WorkerRecord,
     step: Step,
-    step_key: Group,
+    step_key: StepKey,
     now: float,
-    care: Care = Care.NONE,
+    isolation: IsolationLevel = IsolationLevel.NONE,
 ) -> bool:
     """Return whether a task may be placed on a worker now.
 
@@ -193,18 +193,18 @@
     :param step: step of the task.
     :param step_key: job, occurrence and number of the step.
     :param now: monotonic seconds.
-    :param care: isolation that the task needs.
+    :param isolation: isolation that the task needs.
     """
     # free capacity is checked first: with a long queue most workers have none
     return (
         worker.has_room(step)
         and worker.is_open(now)
-        and worker.meets_isolation(step_key[0], care)
+        and worker.meets_isolation(step_key[0], isolation)
         and _is_allowed(worker, step, step_key)
     )
 
 
-def may_ever_run(worker: WorkerRecord, step: Step, step_key: Group) -> bool:
+def may_ever_run(worker: WorkerRecord, step: Step, step_key: StepKey) -> bool:
     """Return whether a task fits on a worker once the other tasks there have ended.
 
     :param worker: the worker.
@@ -224,7 +224,7 @@
     )
 
 
-def _is_allowed(worker: WorkerRecord, step: Step, step_key: Group) -> bool:
+def _is_allowed(worker: WorkerRecord, step: Step, step_key: StepKey) -> bool:
     if step.requires and step.requires not in worker.entry.labels:
         return False
     return (
@@ -236,20 +236,20 @@
     worker: WorkerRecord,
     step: Step,
     avoid: t.Collection[str],
-    care: Care = Care.NONE,
+    isolation: IsolationLevel = IsolationLevel.NONE,
 ) -> Rank:
     """Return the rank of an eligible worker; the lowest rank is chosen.
 
     :param worker: the worker.
     :param step: step of the task.
     :param avoid: ids of the workers on which the task has failed.
-    :param care: isolation that the task needs.
+    :param isolation: isolation that the task needs.
     """
     entry = worker.entry
     misses_affinity = bool(step.affinity) and step.affinity not in entry.labels
     load = worker.cpu_used / entry.cpu if entry.cpu else 0.0
     # a suspected task is placed where the fewest runs would be lost in a crash
-    spreads = step.target_ms or step.fills or care is not Care.NONE
+    spreads = step.target_ms or step.fills or isolation is not IsolationLevel.NONE
     load_order = load if spreads else -load
     # a serving task would have to be moved before the maintenance of the VM
     due = step.long_running and worker.due
@@ -266,10 +266,10 @@
 def choose_worker(
     workers: t.Iterable[WorkerRecord],
     step: Step,
-    step_key: Group,
+    step_key: StepKey,
     now: float,
     avoid: t.Collection[str] = (),
-    care: Care = Care.NONE,
+    isolation: IsolationLevel = IsolationLevel.NONE,
 ) -> WorkerRecord | None:
     """Choose the best worker for a task.
 
@@ -278,12 +278,14 @@
     :param step_key: job, occurrence and number of the step.
     :param now: monotonic seconds.
     :param avoid: ids of the workers on which the task has failed.
-    :param care: isolation that the task needs.
+    :param isolation: isolation that the task needs.
     :returns: the worker, or ``None`` if no worker is eligible.
     """
     eligible = [
-        worker for worker in workers if is_eligible(worker, step, step_key, now, care)
+        worker
+        for worker in workers
+        if is_eligible(worker, step, step_key, now, isolation)
     ]
     if not eligible:
         return None
-    return min(eligible, key=lambda worker: rank_worker(worker, step, avoid, care))
+    return min(eligible, key=lambda worker: rank_worker(worker, step, avoid, isolation))
--- a/src/onyxgap/jobs/priorities.py
+++ b/src/onyxgap/jobs/priorities.py
@@ -56,7 +56,7 @@
 class Forecast(t.Protocol):
     """Predicts whether jobs end in time and which steps justify more VMs."""
 
-    def is_worth_vms(self, urgency: Urgency, now: float) -> bool:
+    def justifies_more_vms(self, urgency: Urgency, now: float) -> bool:
         """Tell whether a waiting step justifies adding VMs to the pool.
 
         :param urgency: its urgency.
@@ -72,7 +72,7 @@
         """
 
 
-def get_objective(job: Job, factor: float = 1.0) -> float:
+def get_slo_deadline(job: Job, factor: float = 1.0) -> float:
     """Give the monotonic second by which a job should have ended.
 
     :param job: the job.
@@ -80,8 +80,8 @@
     """
     policy = job.submission.policy
     return (
-        job.seen_at
-        + (policy.stretch * factor * job.chain_ms + policy.slo_ms) / MS_PER_S
+        job.accepted_at
+        + (policy.stretch * factor * job.critical_path_ms + policy.slo_ms) / MS_PER_S
     )
 
 
@@ -91,7 +91,9 @@
     :param job: the job.
     :param factor: ratio of its actual to its declared run times.
     """
-    return job.seen_at + USEFUL_FACTOR * (get_objective(job, factor) - job.seen_at)
+    return job.accepted_at + USEFUL_FACTOR * (
+        get_slo_deadline(job, factor) - job.accepted_at
+    )
 
 
 def _lacks_slack(urgency: Urgency, now: float) -> bool:
@@ -102,13 +104,13 @@
 class DeclaredForecast:
     """Uses declared run times; late jobs never expire."""
 
-    def is_worth_vms(self, urgency: Urgency, now: float) -> bool:
+    def justifies_more_vms(self, urgency: Urgency, now: float) -> bool:
         """Select steps that can be in time; late ones get the remaining capacity."""
         return _lacks_slack(urgency, now)
 
     def rate(self, job: Job, step: int, now: float) -> Urgency:
         """Rate a step; see :meth:`Forecast.rate`."""
-        latest = get_objective(job) - job.tails_ms[step] / MS_PER_S
+        latest = get_slo_deadline(job) - job.remaining_path_ms[step] / MS_PER_S
         standing = Timeliness.OF_USE if now > latest else Timeliness.IN_TIME
         return Urgency(standing, job.submission.policy.priority, latest)
 
@@ -131,7 +133,7 @@
 
     run_times: RunTimes
 
-    def is_worth_vms(self, urgency: Urgency, now: float) -> bool:
+    def justifies_more_vms(self, urgency: Urgency, now: float) -> bool:
         """Select steps that are short of slack, and late ones that are still useful.
 
         Where callers compete, a backlog that requests no VMs is never worked off while
@@ -145,12 +147,12 @@
         width = job.submission.steps[step].count
         factor = self.run_times.get_factor(policy.queue, width)
         steps_left = len(job.submission.steps) - step
-        left_s = factor * job.tails_ms[step] / MS_PER_S
+        left_s = factor * job.remaining_path_ms[step] / MS_PER_S
         left_s += steps_left * (self.run_times.lag_s + END_REPORT_S)
         median_factor = self.run_times.get_factor(policy.queue, 1)
         expiry = get_expiry(job, median_factor)
         for standing, end in (
-            (Timeliness.IN_TIME, get_objective(job, median_factor)),
+            (Timeliness.IN_TIME, get_slo_deadline(job, median_factor)),
             (Timeliness.OF_USE, expiry),
         ):
             if now <= end - left_s:
@@ -158,11 +160,11 @@
         return Urgency(Timeliness.NO_USE, policy.priority, expiry - left_s)
 
 
-DECLARED = DeclaredForecast()
+DECLARED_FORECAST = DeclaredForecast()
 
 
 def rate_urgency(
-    job: Job, step: int, now: float, forecast: Forecast = DECLARED
+    job: Job, step: int, now: float, forecast: Forecast = DECLARED_FORECAST
 ) -> Urgency:
     """Rate the urgency of a step that is ready to start.
 
--- a/src/onyxgap/jobs/ready.py
+++ b/src/onyxgap/jobs/ready.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from .crashes import NO_SUSPICION
+from .crashes import NO_LOSSES
 from .job import Job
 from .job import Task
 from .priorities import Timeliness
@@ -14,7 +14,7 @@
 
 
 @attrs.define(slots=True)
-class Ready:
+class ReadyStep:
     """Waiting tasks of one step whose dependencies are done.
 
     :param urgency: sort key.
@@ -30,7 +30,7 @@
     tasks: list[Task]
     beyond: bool = False
 
-    def get_rank(self) -> tuple[bool, Timeliness, bool, bool, Urgency]:
+    def get_sort_key(self) -> tuple[bool, Timeliness, bool, bool, Urgency]:
         """Give the sort key; lower values are scheduled first.
 
         Jobs over their tenants' rates go last. A job that can be in time goes before a
@@ -39,7 +39,7 @@
         each needs a worker on which nothing else starts. Late suspected tasks don't:
         they would take capacity from jobs that can still be in time.
         """
-        suspect = any(task.suspicion is not NO_SUSPICION for task in self.tasks)
+        suspect = any(task.loss_history is not NO_LOSSES for task in self.tasks)
         return (
             self.job.beyond,
             self.urgency.standing,
--- a/src/onyxgap/jobs/relief.py
+++ b/src/onyxgap/jobs/relief.py
@@ -24,7 +24,7 @@
 
 
 @attrs.define
-class Relief:
+class ShardOfferPolicy:
     """Decides when a node offers the shards that it owns.
 
     :param weak: whether its VM is much smaller than the largest one.
@@ -50,7 +50,7 @@
         since = self._lagging_since
         return since is not None and now - since >= LAG_DURATION_S
 
-    def offers(self, shard: str, epoch: int, owned_s: float, now: float) -> bool:
+    def should_offer(self, shard: str, epoch: int, owned_s: float, now: float) -> bool:
         """Return whether to offer a shard now.
 
         :param shard: the shard.
--- a/src/onyxgap/jobs/routing.py
+++ b/src/onyxgap/jobs/routing.py
@@ -71,7 +71,7 @@
                 return tenant
         return None
 
-    def find_spare(self) -> str:
+    def find_spare_service(self) -> str:
         """Return the name of the spare service, or an empty string if there is none."""
         for service in self.services.values():
             if service.spare:
@@ -187,7 +187,7 @@
         found = self.configuration.services.get(service)
         return found is not None and found.guarded
 
-    def list_former(self, policy: QueuePolicy) -> tuple[str, ...]:
+    def list_previous_services(self, policy: QueuePolicy) -> tuple[str, ...]:
         """List other services that a queue had since this process started.
 
         :param policy: policy of the queue.
--- a/src/onyxgap/jobs/run_times.py
+++ b/src/onyxgap/jobs/run_times.py
@@ -52,7 +52,7 @@
     lag_s: float = 0.0
     _windows: dict[str, _SlidingWindow] = attrs.field(factory=dict)
 
-    def note_end(self, queue: str, estimate_ms: float, took_ms: float) -> None:
+    def record_run_time(self, queue: str, estimate_ms: float, took_ms: float) -> None:
         """Record the run time of a task that ran from start to end.
 
         :param queue: its queue.
--- a/src/onyxgap/jobs/shard.py
+++ b/src/onyxgap/jobs/shard.py
@@ -10,32 +10,32 @@
 import attrs
 import structlog
 
-from .admission import Outlook
-from .admission import PoolRoom
-from .admission import measure_outlook
-from .amounts import NOTHING
+from .admission import DelayEstimate
+from .admission import PoolCapacity
+from .admission import estimate_delays
+from .amounts import ZERO_AMOUNT
 from .amounts import Amount
-from .amounts import measure_task
-from .candidates import PlanRoom
-from .crashes import Care
-from .fair_shares import PoolDemand
-from .fair_shares import can_all_be_in_time
-from .fair_shares import mark_beyond
+from .amounts import get_task_amount
+from .candidates import PassCapacity
+from .crashes import IsolationLevel
+from .fair_shares import PoolUsage
+from .fair_shares import can_meet_all_objectives
+from .fair_shares import mark_steps_over_share
 from .job import Job
 from .job import Task
 from .job import TaskPhase
 from .messages import JobState
 from .messages import Step
-from .placing import Group
+from .placing import StepKey
 from .placing import WorkerRecord
 from .placing import choose_worker
 from .placing import may_ever_run
 from .priorities import rate_urgency
-from .ready import Ready
-from .shard_jobs import get_group
+from .ready import ReadyStep
+from .shard_jobs import get_step_key
 from .shard_stops import ShardStops
-from .share_book import ShareBook
-from .usage import measure_usage
+from .share_book import ShardShares
+from .usage import sum_usage_by_tenant
 from .workers import StartOrder
 
 START_WINDOW_MS = 500.0
@@ -60,10 +60,10 @@
     :param fleet_vms: initial number of VMs of all pools, 0 if unknown.
     """
 
-    shares: ShareBook | None = None
+    shares: ShardShares | None = None
     find_weight: t.Callable[[str], float] | None = None
     beyond: int = 0
-    backlog: t.Sequence[Ready] = ()
+    backlog: t.Sequence[ReadyStep] = ()
     fleet_vms: int = 0
 
     def plan(self, now: float, wall_ms: float) -> list[StartOrder]:
@@ -84,11 +84,11 @@
         open_workers = [
             record for record in self.workers.values() if record.is_open(now)
         ]
-        free_capacity = PlanRoom(open_workers, now)
+        free_capacity = PassCapacity(open_workers, now)
         usage: t.Mapping[str, Amount] = {}
         if self.shares is not None:
-            usage = measure_usage(self.workers.values(), self.jobs)
-            self.shares.open_plan(usage)
+            usage = sum_usage_by_tenant(self.workers.values(), self.jobs)
+            self.shares.begin_pass(usage)
         for ready in self._sort_ready(now, wall_ms, usage):
             if ready.job.submission.steps[ready.step].gang:
                 placed = self._place_gang(ready, now)
@@ -98,7 +98,7 @@
                 self._log_placing(ready, placed, now)
             orders += placed
         if self.shares is not None:
-            self.shares.close_plan(free_capacity.measure_free(), now)
+            self.shares.end_pass(free_capacity.get_free_capacity(), now)
         return orders
 
     def _fits_share(
@@ -115,16 +115,16 @@
         tenant = job.submission.tenant
         if self.shares is None or not tenant:
             return True
-        amount = measure_task(step) * tasks
+        amount = get_task_amount(step) * tasks
         if self.shares.admits(tenant, amount):
             return True
-        self.shares.miss(tenant, amount, wanted)
+        self.shares.add_unmet(tenant, amount, wanted)
         if job.capped_at is None:
             job.capped_at = now
         return False
 
     def _log_placing(
-        self, ready: Ready, placed: t.Sequence[StartOrder], now: float
+        self, ready: ReadyStep, placed: t.Sequence[StartOrder], now: float
     ) -> None:
         job = ready.job
         clocks = [self.workers[order.worker_id].clock for order in placed]
@@ -141,7 +141,7 @@
             standing=ready.urgency.standing.name.lower(),
             beyond=job.beyond or ready.beyond,
             capped_s=None if job.capped_at is None else round(now - job.capped_at, 3),
-            waited_s=round(now - job.seen_at, 3),
+            waited_s=round(now - job.accepted_at, 3),
             report_age_s=round(max(ages_s, default=0.0), 3),
             epoch=self.epoch,
         )
@@ -149,18 +149,18 @@
 
     def _sort_ready(
         self, now: float, wall_ms: float, usage: t.Mapping[str, Amount]
-    ) -> list[Ready]:
+    ) -> list[ReadyStep]:
         """List the ready steps in the order in which they are placed."""
         ready = self._list_ready(now, wall_ms)
-        ready.sort(key=Ready.get_rank)
+        ready.sort(key=ReadyStep.get_sort_key)
         self.beyond = 0
         if self.find_weight is not None and self.shares is not None:
-            elsewhere = self.shares.get_elsewhere()
-            demand = PoolDemand(self._measure_pool_capacity(), usage, elsewhere)
-            if not can_all_be_in_time(ready, demand, now):
-                self.beyond = mark_beyond(ready, demand, self.find_weight)
+            elsewhere = self.shares.get_held_elsewhere()
+            demand = PoolUsage(self._measure_pool_capacity(), usage, elsewhere)
+            if not can_meet_all_objectives(ready, demand, now):
+                self.beyond = mark_steps_over_share(ready, demand, self.find_weight)
             if self.beyond:
-                ready.sort(key=Ready.get_rank)
+                ready.sort(key=ReadyStep.get_sort_key)
         if self.run_times is not None:
             self.backlog = ready
         return ready
@@ -169,32 +169,34 @@
         """Return the smoothed seconds that start orders wait to be stored and sent."""
         return self.run_times.lag_s if self.run_times is not None else 0.0
 
-    def build_outlook(self, now: float) -> Outlook:
+    def build_outlook(self, now: float) -> DelayEstimate:
         """Estimate the wait of a job submitted now, as of the last scheduling pass.
 
         :param now: monotonic seconds.
         """
         if self.run_times is None:
-            return Outlook()
+            return DelayEstimate()
         vms = sum(record.is_open(now) for record in self.workers.values())
-        pool = PoolRoom(vms, self.fleet_vms)
-        return measure_outlook(self.backlog, self.get_capacity(), pool, self.run_times)
+        pool = PoolCapacity(vms, self.fleet_vms)
+        return estimate_delays(
+            self.backlog, self.get_largest_worker_capacity(), pool, self.run_times
+        )
 
     def _measure_pool_capacity(self) -> Amount:
         """Sum the capacity, used or free, of the workers that may run tasks."""
-        capacity = NOTHING
+        capacity = ZERO_AMOUNT
         for record in self.workers.values():
             if record.held and record.registered and not record.cordoned:
                 entry = record.entry
                 capacity += Amount(entry.cpu, entry.memory_mb, entry.accelerators)
         return capacity
 
-    def _list_ready(self, now: float, wall_ms: float) -> list[Ready]:
+    def _list_ready(self, now: float, wall_ms: float) -> list[ReadyStep]:
         ready = []
         for job in self.jobs.values():
             if job.state.final:
                 continue
-            if job.open_due(wall_ms):
+            if job.open_due_occurrences(wall_ms):
                 self.dirty.add(job.submission.job_id)
             for occurrence, step_number in job.list_ready():
                 tasks = [
@@ -204,28 +206,28 @@
                 ]
                 if tasks:
                     urgency = rate_urgency(job, step_number, now, self.forecast)
-                    ready.append(Ready(urgency, job, step_number, tasks))
+                    ready.append(ReadyStep(urgency, job, step_number, tasks))
         return ready
 
     def _place_tasks(
-        self, ready: Ready, free_capacity: PlanRoom, now: float
+        self, ready: ReadyStep, free_capacity: PassCapacity, now: float
     ) -> t.Iterator[StartOrder]:
         step = ready.job.submission.steps[ready.step]
         advised = ready.job.submission.policy.advised
-        if not advised and not step.long_running and free_capacity.is_refused(step):
+        if not advised and not step.long_running and free_capacity.is_unplaceable(step):
             return
-        group = get_group(ready.tasks[0])
+        group = get_step_key(ready.tasks[0])
         allowed = self._list_advised_workers(ready, now) if advised else None
-        candidates = free_capacity.rank(step, group, allowed)
+        candidates = free_capacity.build_candidates(step, group, allowed)
         worker_reserved = False
         for position, task in enumerate(ready.tasks):
             if not self._fits_share(
                 ready.job, step, 1, len(ready.tasks) - position, now
             ):
                 return
-            care = task.suspicion.care
-            record = candidates.choose(task.failed_on, care)
-            if record is None and care is not Care.NONE:
+            isolation = task.loss_history.isolation
+            record = candidates.choose(task.failed_on, isolation)
+            if record is None and isolation is not IsolationLevel.NONE:
                 # other tasks of the step may use workers that this one must not
                 if not worker_reserved:
                     self._reserve_worker_for_suspect(free_capacity, step, group)
@@ -235,17 +237,17 @@
                 if step.long_running:
                     self._reserve_worker(step, group)
                 if allowed is None:
-                    free_capacity.note_refused(step)
+                    free_capacity.note_unplaceable(step)
                 return
             yield self._place(ready.job, step, task, record, task.run + 1, now)
 
-    def _list_advised_workers(self, ready: Ready, now: float) -> t.Collection[str]:
+    def _list_advised_workers(self, ready: ReadyStep, now: float) -> t.Collection[str]:
         """List the workers for which a step has tickets of the policy service.
 
         If it has no valid tickets, no worker is allowed and the service is asked.
         """
         step = ready.job.submission.steps[ready.step]
-        group = get_group(ready.tasks[0])
+        group = get_step_key(ready.tasks[0])
         tickets = self.book.get_tickets(group, now)
         if tickets is not None:
             return tickets.keys()
@@ -255,10 +257,10 @@
             if may_ever_run(record, step, group)
         ]
         fitting.sort(key=lambda record: (not record.has_room(step), record.cpu_used))
-        self.book.ask(group, [record.entry.worker_id for record in fitting])
+        self.book.request_tickets(group, [record.entry.worker_id for record in fitting])
         return ()
 
-    def _reserve_worker(self, step: Step, group: Group) -> None:
+    def _reserve_worker(self, step: Step, group: StepKey) -> None:
         """Reserve the worker that should be the first to fit a task of a step.
 
         This is for serving tasks and for tasks suspected of crashing workers. Without
@@ -273,7 +275,7 @@
             min(fitting, key=lambda record: record.cpu_used).reserved = True
 
     def _reserve_worker_for_suspect(
-        self, free_capacity: PlanRoom, step: Step, group: Group
+        self, free_capacity: PassCapacity, step: Step, group: StepKey
     ) -> None:
         """Reserve a worker for a suspected task, unless half of them are reserved.
 
@@ -284,7 +286,7 @@
         if 2 * reserved < len(free_capacity.records):
             self._reserve_worker(step, group)
 
-    def _place_gang(self, ready: Ready, now: float) -> list[StartOrder]:
+    def _place_gang(self, ready: ReadyStep, now: float) -> list[StartOrder]:
         step = ready.job.submission.steps[ready.step]
         if len(ready.tasks) != step.count:
             return []
@@ -295,17 +297,17 @@
         if ready.job.submission.policy.advised:
             tickets = self._list_advised_workers(ready, now)
             allowed = [item for item in allowed if item.entry.worker_id in tickets]
-        cares = {task.suspicion.care for task in ready.tasks}
-        care = next(item for item in reversed(Care) if item in cares)
+        cares = {task.loss_history.isolation for task in ready.tasks}
+        isolation = next(item for item in reversed(IsolationLevel) if item in cares)
         for task in ready.tasks:
-            group = get_group(task)
-            record = choose_worker(allowed, step, group, now, care=care)
+            group = get_step_key(task)
+            record = choose_worker(allowed, step, group, now, isolation=isolation)
             if record is None:
                 break
             record.reserve(step, group)
             chosen.append((task, record))
         for task, record in chosen:
-            record.free(step, get_group(task))
+            record.free(step, get_step_key(task))
         if len(chosen) != step.count:
             return []
         run = max(task.run for task in ready.tasks) + 1
@@ -331,10 +333,10 @@
             job.placed_at = now
         deadline_ms = record.clock.estimate(now) + START_WINDOW_MS
         task.place(record.entry.worker_id, now, deadline_ms, run)
-        record.reserve(step, get_group(task))
+        record.reserve(step, get_step_key(task))
         if self.shares is not None:
-            self.shares.take(job.submission.tenant, measure_task(step))
-        record.note_start(task.task_id, task.suspicion.care)
+            self.shares.add_usage(job.submission.tenant, get_task_amount(step))
+        record.note_start(task.task_id, task.loss_history.isolation)
         record.lease_ms = max(record.lease_ms, deadline_ms)
         if job.state is JobState.QUEUED:
             job.state = JobState.RUNNING
@@ -354,7 +356,7 @@
     def _get_ticket(self, job: Job, task: Task, now: float) -> str:
         if not job.submission.policy.advised:
             return ""
-        tickets = self.book.get_tickets(get_group(task), now) or {}
+        tickets = self.book.get_tickets(get_step_key(task), now) or {}
         return tickets.get(task.worker_id, "")
 
     def prepare_start(self, order: StartOrder, now: float) -> StartOrder | None:
--- a/src/onyxgap/jobs/shard_jobs.py
+++ b/src/onyxgap/jobs/shard_jobs.py
@@ -6,7 +6,7 @@
 import attrs
 import structlog
 
-from .advice import AdviceBook
+from .advice import TicketCache
 from .crashes import CrashLog
 from .job import Job
 from .job import Task
@@ -16,14 +16,14 @@
 from .messages import TaskId
 from .messages import WorkerEntry
 from .messages import WorkerState
-from .placing import Group
+from .placing import StepKey
 from .placing import WorkerRecord
-from .priorities import DECLARED
+from .priorities import DECLARED_FORECAST
 from .priorities import Forecast
-from .priorities import get_objective
+from .priorities import get_slo_deadline
 from .rates import TenantRates
 from .run_times import RunTimes
-from .workers import MS
+from .workers import MS_PER_S
 from .workers import StopOrder
 
 _LOG = structlog.get_logger()
@@ -34,7 +34,7 @@
     return task.phase is TaskPhase.RUNNING and task.percent >= 100 and not task.stopping
 
 
-def get_group(task: Task) -> Group:
+def get_step_key(task: Task) -> StepKey:
     """Return the job id, occurrence and step number of a task."""
     task_id = task.task_id
     return (task_id.job_id, task_id.occurrence, task_id.step)
@@ -47,7 +47,7 @@
     :param service: pool whose workers run the tasks.
     :param epoch: fencing token of the owner.
     :param claimed_at: monotonic seconds when the owner claimed the shard.
-    :param room_valid_s: seconds for which the capacity that a worker reports may be
+    :param capacity_valid_s: seconds for which the capacity that a worker reports may be
         relied on; infinite where workers refuse tasks that don't fit.
     :param rates: tells which jobs are within their tenants' rates; ``None`` where there
         are no tenants.
@@ -59,7 +59,7 @@
     service: str
     epoch: int
     claimed_at: float
-    room_valid_s: float = math.inf
+    capacity_valid_s: float = math.inf
     jobs: dict[str, Job] = attrs.field(factory=dict)
     final: dict[str, JobStatus] = attrs.field(factory=dict)
     ended_at: dict[str, float] = attrs.field(factory=dict)
@@ -70,12 +70,12 @@
     cordons: t.Mapping[str, str] = attrs.field(factory=dict)
     due: frozenset[str] = frozenset()
     arrived_jobs: int = 0
-    arrived: list[Job] = attrs.field(factory=list)
+    unmeasured_jobs: list[Job] = attrs.field(factory=list)
     offered: float = 0.0
-    book: AdviceBook = attrs.field(factory=AdviceBook)
+    book: TicketCache = attrs.field(factory=TicketCache)
     rates: TenantRates | None = None
     run_times: RunTimes | None = None
-    forecast: Forecast = DECLARED
+    forecast: Forecast = DECLARED_FORECAST
     crashes: CrashLog = attrs.field(factory=CrashLog)
     unlogged_done: dict[str, list[str]] = attrs.field(factory=dict)
     unexpected_runs: dict[tuple[str, TaskId, int], StopOrder] = attrs.field(
@@ -95,21 +95,21 @@
         if job.state.final:
             self._move_to_final(job, job.state, now)
             return
-        age_s = max(0.0, (wall_ms - job.submission.accepted_ms) / MS)
-        job.seen_at = now - min(age_s, now)
+        age_s = max(0.0, (wall_ms - job.submission.accepted_ms) / MS_PER_S)
+        job.accepted_at = now - min(age_s, now)
         if self.rates is not None:
-            accepted_s = job.submission.accepted_ms / MS
+            accepted_s = job.submission.accepted_ms / MS_PER_S
             within = self.rates.is_within(job.submission.tenant, accepted_s)
             job.beyond = not within
         self.jobs[job_id] = job
         if job.stored_state is None:
             self.dirty.add(job_id)
             self.arrived_jobs += 1
-            self.arrived.append(job)
+            self.unmeasured_jobs.append(job)
         for task in job.list_placed():
             record = self._get_or_add_worker(task.worker_id)
-            record.reserve(job.get_step(task), get_group(task))
-            record.note_start(task.task_id, task.suspicion.care)
+            record.reserve(job.get_step(task), get_step_key(task))
+            record.note_start(task.task_id, task.loss_history.isolation)
         if job_id in self.early_cancels:
             self.cancel(job_id)
 
@@ -125,9 +125,9 @@
             return
         self.early_cancels.discard(job_id)
         if not job.state.final:
-            self._finish(job, JobState.CANCELLED)
+            self._end_job(job, JobState.CANCELLED)
 
-    def _finish(self, job: Job, state: JobState) -> None:
+    def _end_job(self, job: Job, state: JobState) -> None:
         job.state = state
         self.dirty.add(job.submission.job_id)
         for task in job.list_placed():
@@ -163,16 +163,16 @@
     @staticmethod
     def _log_end(job: Job, state: JobState, now: float) -> None:
         submission = job.submission
-        waited_s = None if job.placed_at is None else job.placed_at - job.seen_at
+        waited_s = None if job.placed_at is None else job.placed_at - job.accepted_at
         timed = submission.times or any(step.long_running for step in submission.steps)
-        objective_s = None if timed else get_objective(job) - job.seen_at
+        objective_s = None if timed else get_slo_deadline(job) - job.accepted_at
         _LOG.info(
             "job ended",
             job=submission.job_id,
             queue=submission.policy.queue,
             service=submission.policy.service,
             state=state.value,
-            took_s=round(now - job.seen_at, 3),
+            took_s=round(now - job.accepted_at, 3),
             waited_s=None if waited_s is None else round(waited_s, 3),
             objective_s=None if objective_s is None else round(objective_s, 3),
         )
@@ -224,7 +224,7 @@
             self.ended_at.pop(job_id, None)
             self.early_cancels.discard(job_id)
 
-    def find_next_due(self, wall_ms: float) -> float:
+    def get_next_due_wait_ms(self, wall_ms: float) -> float:
         """Return the milliseconds until the next occurrence is due.
 
         One hour if no occurrence is left to open.
@@ -232,7 +232,7 @@
         waits = [
             job.get_due_ms() - wall_ms
             for job in self.jobs.values()
-            if job.submission.times and job.next_occurrence < job.wanted_occurrences
+            if job.submission.times and job.next_occurrence < job.total_occurrences
         ]
         return min(waits, default=3_600_000.0)
 
@@ -252,8 +252,8 @@
     def _release(self, job: Job, task: Task) -> None:
         record = self.workers.get(task.worker_id)
         if record is not None:
-            record.free(job.get_step(task), get_group(task))
-            record.settle(task.task_id)
+            record.free(job.get_step(task), get_step_key(task))
+            record.end_crash_window(task.task_id)
         task.release()
         self.dirty.add(job.submission.job_id)
 
--- a/src/onyxgap/jobs/shard_reports.py
+++ b/src/onyxgap/jobs/shard_reports.py
@@ -5,12 +5,12 @@
 import attrs
 import structlog
 
-from .crashes import NO_SUSPICION
-from .crashes import PROOF_MS
-from .crashes import SETTLED_MS
+from .crashes import CRASH_WINDOW_MS
+from .crashes import NO_LOSSES
+from .crashes import START_CRASH_WINDOW_MS
 from .job import Job
 from .job import Task
-from .lives import LifeSign
+from .lives import IncarnationMatch
 from .messages import EndedTask
 from .messages import EndKind
 from .messages import JobState
@@ -19,14 +19,14 @@
 from .placing import WorkerRecord
 from .progress import RESTORE_S
 from .progress import Progress
-from .shard_jobs import get_group
+from .shard_jobs import get_step_key
 from .shard_workers import ShardWorkers
-from .stragglers import MOST_MOVES
-from .stragglers import Pace
-from .stragglers import choose_block
-from .stragglers import judge_pace
-from .stragglers import measure_ratio
-from .workers import MS
+from .stragglers import MAX_MOVES
+from .stragglers import SpeedClass
+from .stragglers import classify_speed
+from .stragglers import get_block_time
+from .stragglers import get_relative_speed
+from .workers import MS_PER_S
 from .workers import HoldReport
 from .workers import Reply
 from .workers import ReplyKind
@@ -68,13 +68,16 @@
         record = self.workers.get(worker_id)
         if record is None:
             return
-        if self._take_life(record, report.born, now) is not LifeSign.SAME:
+        if (
+            self._update_incarnation(record, report.born, now)
+            is not IncarnationMatch.SAME
+        ):
             # a newer incarnation starts with an empty record and is asked again
             return
         if record.clock is None:
             record.clock = WorkerClock(report.clock_ms, now)
         record.clock.observe(report.clock_ms, now)
-        record.heard_ms = max(record.heard_ms, report.clock_ms)
+        record.last_clock_ms = max(record.last_clock_ms, report.clock_ms)
         record.held = True
         record.failing_since = None
         for end in report.ended:
@@ -115,21 +118,24 @@
             )
             return
         job.started = True
-        task.list_again(now, clock_ms)
+        task.note_listed(now, clock_ms)
         self._update_crash_windows(record, task)
         self._record_progress(job, task, item, now)
         task.percent = item.percent
-        task.figure = item.figure
+        task.measurement = item.measurement
         if item.checkpoint:
             task.checkpoint = item.checkpoint
 
     @staticmethod
     def _update_crash_windows(record: WorkerRecord, task: Task) -> None:
-        if task.task_id in record.unproved and task.listed_ms >= PROOF_MS:
-            record.prove(task.task_id, task.suspicion.care)
-        if task.task_id in record.unsettled and task.listed_ms >= SETTLED_MS:
-            task.suspicion = NO_SUSPICION
-            record.settle(task.task_id)
+        if (
+            task.task_id in record.in_start_crash_window
+            and task.listed_ms >= START_CRASH_WINDOW_MS
+        ):
+            record.end_start_crash_window(task.task_id, task.loss_history.isolation)
+        if task.task_id in record.in_crash_window and task.listed_ms >= CRASH_WINDOW_MS:
+            task.loss_history = NO_LOSSES
+            record.end_crash_window(task.task_id)
 
     @staticmethod
     def _record_progress(job: Job, task: Task, item: RunningTask, now: float) -> None:
@@ -149,18 +155,21 @@
         measured = list(self._list_measured_runs(report))
         speeds = [progress.speed or 0.0 for _, _, progress in measured]
         compared = [
-            measure_ratio(task, job.list_siblings(task)) for job, task, _ in measured
+            get_relative_speed(task, job.list_step_tasks(task))
+            for job, task, _ in measured
         ]
         ratios = [ratio for ratio in compared if ratio is not None]
-        pace = judge_pace(speeds, ratios)
-        if pace is Pace.SOUND:
-            record.findings = 0
-        if pace not in (Pace.SLOW, Pace.STANDING):
+        pace = classify_speed(speeds, ratios)
+        if pace is SpeedClass.NORMAL:
+            record.slow_streak = 0
+        if pace not in (SpeedClass.SLOW, SpeedClass.STALLED):
             return
         if now >= record.blocked_until:
-            record.blocked_until = now + choose_block(record.findings)
-            record.findings += 1
-        record.leaving = [task for _, task, _ in measured if task.moves < MOST_MOVES]
+            record.blocked_until = now + get_block_time(record.slow_streak)
+            record.slow_streak += 1
+        record.tasks_to_move = [
+            task for _, task, _ in measured if task.moves < MAX_MOVES
+        ]
         _LOG.info(
             "worker slow",
             worker=record.entry.worker_id,
@@ -168,7 +177,7 @@
             pace=pace.value,
             speeds=[round(speed, 2) for speed in speeds],
             ratios=[round(ratio, 2) for ratio in ratios],
-            moving=len(record.leaving),
+            moving=len(record.tasks_to_move),
         )
 
     def _list_measured_runs(
@@ -212,15 +221,15 @@
             if not member.placed or member_worker is None:
                 continue
             if end.kind is EndKind.DONE or member is task:
-                member_worker.free(step, get_group(member))
-                member_worker.settle(member.task_id)
+                member_worker.free(step, get_step_key(member))
+                member_worker.end_crash_window(member.task_id)
         if job.state.final:
             task.release()
         else:
             job.apply_end(task, end)
             if job.state is JobState.FAILED:
                 _LOG.info("job failed", job=end.task.job_id, failures=task.failures)
-                self._finish(job, JobState.FAILED)
+                self._end_job(job, JobState.FAILED)
         task.not_before = now + RETRY_PAUSE_S if end.kind is EndKind.FAILED else 0.0
         if job.stored_state is not None and job.stored_state.final:
             self.mark_stored(end.task.job_id, job.stored_state, now)
@@ -236,13 +245,13 @@
         if self.run_times is None or not measurable or task.checkpoint:
             return
         if task.started_at:
-            took_ms = (now - task.started_at) * MS
+            took_ms = (now - task.started_at) * MS_PER_S
             queue = job.submission.policy.queue
-            self.run_times.note_end(queue, step.estimate_ms, took_ms)
+            self.run_times.record_run_time(queue, step.estimate_ms, took_ms)
 
     @staticmethod
     def _list_gang_members(job: Job, task: Task) -> list[Task]:
-        return job.list_siblings(task) if job.get_step(task).gang else [task]
+        return job.list_step_tasks(task) if job.get_step(task).gang else [task]
 
     def _update_failure_count(
         self, record: WorkerRecord, task: Task, kind: EndKind, now: float
@@ -268,7 +277,7 @@
         sent_at: float,
     ) -> None:
         assert record.clock is not None
-        min_clock_ms = record.clock.bound_low(sent_at)
+        min_clock_ms = record.clock.get_lower_bound(sent_at)
         for group in list(record.present):
             job = self.jobs.get(group[0])
             if job is None:
@@ -292,8 +301,8 @@
     def _is_surely_absent(
         self, task: Task, sent_at: float, min_clock_ms: float
     ) -> bool:
-        if task.barred_at is not None:
-            return sent_at > task.barred_at
+        if task.start_ruled_out_at is not None:
+            return sent_at > task.start_ruled_out_at
         if task.confirmed_at is not None:
             return sent_at > task.confirmed_at
         if task.started_at == 0.0:
@@ -330,8 +339,8 @@
         record = self.workers.get(worker_id)
         if record is None:
             return
-        if reply.kind is ReplyKind.OTHER_LIFE:
-            self.end_worker(worker_id, "another incarnation at its address", now)
+        if reply.kind is ReplyKind.OTHER_WORKER:
+            self.remove_worker(worker_id, "another incarnation at its address", now)
             return
         if record.failing_since is None:
             record.failing_since = now
@@ -357,7 +366,7 @@
         record = self.workers.get(order.worker_id)
         if record is not None and record.clock and reply.clock_ms is not None:
             record.clock.observe(reply.clock_ms, now)
-            record.heard_ms = max(record.heard_ms, reply.clock_ms)
+            record.last_clock_ms = max(record.last_clock_ms, reply.clock_ms)
         if job is None or task is None or not task.placed:
             return
         if (task.run, task.worker_id) != (order.run, order.worker_id):
@@ -376,7 +385,7 @@
         if reply.kind is ReplyKind.NO_ANSWER:
             return
         if reply.kind is ReplyKind.NO_TICKET:
-            self.book.drop(get_group(task))
+            self.book.remove_tickets(get_step_key(task))
         if record is not None and reply.kind in _BLOCKING:
             record.blocked_until = max(record.blocked_until, now + REFUSAL_BLOCK_S)
         self._release(job, task)
--- a/src/onyxgap/jobs/shard_stops.py
+++ b/src/onyxgap/jobs/shard_stops.py
@@ -8,7 +8,7 @@
 from .job import Task
 from .messages import Step
 from .placing import choose_worker
-from .shard_jobs import get_group
+from .shard_jobs import get_step_key
 from .shard_jobs import is_serving
 from .shard_reports import ShardReports
 from .workers import StopOrder
@@ -47,14 +47,14 @@
         :param now: monotonic seconds.
         """
         for record in self.workers.values():
-            leaving, record.leaving = record.leaving, []
-            for task in leaving:
+            tasks_to_move, record.tasks_to_move = record.tasks_to_move, []
+            for task in tasks_to_move:
                 job = self.jobs.get(task.task_id.job_id)
                 if job is None or not task.placed or task.stopping:
                     continue
                 if task.worker_id != record.entry.worker_id:
                     continue
-                step, group = job.get_step(task), get_group(task)
+                step, group = job.get_step(task), get_step_key(task)
                 if choose_worker(self.workers.values(), step, group, now) is None:
                     break
                 self._mark_stopping(task)
@@ -95,7 +95,10 @@
                 return
             if task.worker_id not in cordoned or not is_serving(task):
                 continue
-            if choose_worker(self.workers.values(), step, get_group(task), now) is None:
+            if (
+                choose_worker(self.workers.values(), step, get_step_key(task), now)
+                is None
+            ):
                 return
             self._mark_stopping(task)
             away += 1
--- a/src/onyxgap/jobs/shard_workers.py
+++ b/src/onyxgap/jobs/shard_workers.py
@@ -9,28 +9,28 @@
 from ..pools.messages import PoolReport
 from ..pools.messages import WorkerLoad
 from .crashes import LostRun
-from .crashes import weigh_blame
+from .crashes import assign_blame
 from .job import Job
 from .job import Task
-from .lives import LifeSign
-from .lives import compare_life
-from .load import get_demand
-from .load import measure_share
-from .load import measure_work
+from .lives import IncarnationMatch
+from .lives import compare_incarnations
+from .load import estimate_vm_seconds
+from .load import get_load_kind
+from .load import get_worker_fraction
 from .messages import JobState
 from .messages import WorkerEntry
 from .messages import WorkerState
 from .placing import WorkerRecord
 from .priorities import rate_urgency
 from .shard_jobs import ShardJobs
-from .shard_jobs import get_group
+from .shard_jobs import get_step_key
 from .workers import Reply
 from .workers import ReplyKind
 from .workers import StartOrder
 from .workers import StopOrder
 from .workers import WorkerClock
 
-ORPHAN_WAIT_S = 13.0
+INHERITED_LEASE_S = 13.0
 """Time after a claim for which leases of the previous owner may still be valid: an
 owner that cannot reach the store stops extending leases after 8 s, and the last lease
 that it granted lasts 5 s."""
@@ -73,22 +73,24 @@
         if record is None:
             record = WorkerRecord(entry, born=entry.born)
             self.workers[entry.worker_id] = record
-        match = self._take_life(record, entry.born, now)
-        if match is LifeSign.FORMER:
+        match = self._update_incarnation(record, entry.born, now)
+        if match is IncarnationMatch.FORMER:
             return record
-        if match is LifeSign.LATER:
+        if match is IncarnationMatch.LATER:
             record = self.workers[entry.worker_id]
             record.clock = WorkerClock(entry.clock_ms, now)
         record.entry = entry
         record.registered = True
-        record.room_until = now + self.room_valid_s
+        record.capacity_valid_until = now + self.capacity_valid_s
         record.cordoned = entry.worker_id in self.cordons
         record.due = entry.worker_id in self.due
         if record.clock is None:
             record.clock = WorkerClock(entry.clock_ms, now)
         return record
 
-    def _take_life(self, record: WorkerRecord, born: int, now: float) -> LifeSign:
+    def _update_incarnation(
+        self, record: WorkerRecord, born: int, now: float
+    ) -> IncarnationMatch:
         """Compare a message's start time with the worker's known incarnation.
 
         If the message is from a newer incarnation, that replaces the known one.
@@ -98,10 +100,10 @@
         :param now: monotonic seconds.
         :returns: which incarnation the message is from.
         """
-        match = compare_life(record.born, born)
-        if match is LifeSign.LATER:
+        match = compare_incarnations(record.born, born)
+        if match is IncarnationMatch.LATER:
             self._replace_incarnation(record, born, now)
-        elif match is LifeSign.SAME:
+        elif match is IncarnationMatch.SAME:
             record.born = record.born or born
         return match
 
@@ -126,7 +128,7 @@
             for task in job.list_placed()
             if task.worker_id == worker_id and _may_have_been_sent(task)
         ]
-        self.end_worker(worker_id, "worker restarted under the same id", now)
+        self.remove_worker(worker_id, "worker restarted under the same id", now)
         entry = attrs.evolve(
             previous.entry, cpu=0, memory_mb=0, accelerators=0, clock_ms=0.0, born=born
         )
@@ -141,8 +143,8 @@
         self, record: WorkerRecord, job: Job, task: Task, run: int, deadline_ms: float
     ) -> None:
         task.place(record.entry.worker_id, 0.0, deadline_ms, run)
-        task.barred_at = math.inf
-        record.reserve(job.get_step(task), get_group(task))
+        task.start_ruled_out_at = math.inf
+        record.reserve(job.get_step(task), get_step_key(task))
         record.lease_ms = max(record.lease_ms, deadline_ms)
         self._mark_stopping(task)
         self.dirty.add(job.submission.job_id)
@@ -159,10 +161,10 @@
         """
         job = self.jobs.get(order.task.job_id)
         task = job.find_task(order.task) if job else None
-        if task is None or task.barred_at is None or task.run != order.run:
+        if task is None or task.start_ruled_out_at is None or task.run != order.run:
             return
         if reply.kind is ReplyKind.DONE:
-            task.barred_at = min(task.barred_at, now)
+            task.start_ruled_out_at = min(task.start_ruled_out_at, now)
 
     def set_cordons(
         self, cordons: t.Mapping[str, str], due: frozenset[str] = frozenset()
@@ -178,7 +180,7 @@
             record.cordoned = worker_id in cordons
             record.due = worker_id in due
 
-    def get_capacity(self) -> tuple[int, int]:
+    def get_largest_worker_capacity(self) -> tuple[int, int]:
         """Return the CPU (thousandths of a core) and memory (MB) of the largest worker.
 
         Workers are compared by CPU, then by memory; ``(0, 0)`` if there are none.
@@ -193,10 +195,12 @@
 
         :param now: monotonic seconds.
         """
-        capacity = self.get_capacity()
+        capacity = self.get_largest_worker_capacity()
         if capacity != (0, 0):
-            self.offered += sum(measure_work(job, capacity) for job in self.arrived)
-            self.arrived.clear()
+            self.offered += sum(
+                estimate_vm_seconds(job, capacity) for job in self.unmeasured_jobs
+            )
+            self.unmeasured_jobs.clear()
         sums = dict.fromkeys(("queued", "batch", "serving"), 0.0)
         serving: dict[str, int] = {}
         for job in self.jobs.values():
@@ -204,14 +208,14 @@
                 continue
             for occurrence, number in job.list_ready():
                 step = job.submission.steps[number]
-                share = measure_share(step, capacity)
+                share = get_worker_fraction(step, capacity)
                 waiting_kind = (
                     "queued" if self._justifies_more_vms(job, number, now) else ""
                 )
                 for task in occurrence.steps[number]:
                     if step.long_running and task.placed:
                         serving[task.worker_id] = serving.get(task.worker_id, 0) + 1
-                    kind = get_demand(step, task, waiting_kind)
+                    kind = get_load_kind(step, task, waiting_kind)
                     if kind:
                         sums[kind] += share
         workers = {
@@ -224,14 +228,14 @@
         return PoolReport(
             self.service,
             workers,
-            self.list_emptied(),
+            self.list_drained_workers(),
             **{name: round(value, 3) for name, value in sums.items()},
             arrived_jobs=self.arrived_jobs,
             offered=round(self.offered, 3),
             epoch=self.epoch,
         )
 
-    def list_emptied(self) -> dict[str, str]:
+    def list_drained_workers(self) -> dict[str, str]:
         """Return the cordon IDs of drained workers, by worker id.
 
         A drained worker is cordoned and has no runs left.
@@ -245,15 +249,15 @@
     def _justifies_more_vms(self, job: Job, step: int, now: float) -> bool:
         """Return whether a waiting step justifies more VMs for the pool."""
         urgency = rate_urgency(job, step, now, self.forecast)
-        return self.forecast.is_worth_vms(urgency, now)
+        return self.forecast.justifies_more_vms(urgency, now)
 
-    def miss_worker(self, worker_id: str) -> None:
+    def mark_unregistered(self, worker_id: str) -> None:
         """Mark a worker as unregistered; it may still be running."""
         record = self.workers.get(worker_id)
         if record is not None:
             record.registered = False
 
-    def end_worker(
+    def remove_worker(
         self, worker_id: str, reason: str, now: float, crashed: bool = True
     ) -> None:
         """Remove a worker whose incarnation is over, and release the runs on it.
@@ -286,17 +290,17 @@
         record = self.workers.get(order.worker_id)
         return record is not None and order.task in record.isolated
 
-    def set_room_validity(self, valid_s: float) -> None:
+    def set_capacity_validity(self, valid_s: float) -> None:
         """Set how long the capacity in a registration may be relied on.
 
         :param valid_s: seconds since the registration was read, or infinity.
         """
-        if valid_s == self.room_valid_s:
+        if valid_s == self.capacity_valid_s:
             return
-        self.room_valid_s = valid_s
+        self.capacity_valid_s = valid_s
         for record in self.workers.values():
             # The time of the last registration is not kept, so wait for the next one.
-            record.room_until = math.inf if math.isinf(valid_s) else 0.0
+            record.capacity_valid_until = math.inf if math.isinf(valid_s) else 0.0
 
     def list_registered(self) -> list[WorkerRecord]:
         """List the workers that are registered."""
@@ -319,7 +323,7 @@
         for record in self.list_silent():
             silent_since = record.failing_since or self.claimed_at
             if record.entry.worker_id not in live and sent_at > silent_since:
-                self.end_worker(
+                self.remove_worker(
                     record.entry.worker_id, "VM is down or runs another worker", sent_at
                 )
 
@@ -331,7 +335,7 @@
             if not self._has_lease_expired(record, now):
                 continue
             if not record.registered:
-                self.end_worker(
+                self.remove_worker(
                     record.entry.worker_id, "unregistered, lease expired", now, False
                 )
             elif record.present:
@@ -345,11 +349,11 @@
                 )
 
     def _has_lease_expired(self, record: WorkerRecord, now: float) -> bool:
-        if not record.held and now < self.claimed_at + ORPHAN_WAIT_S:
+        if not record.held and now < self.claimed_at + INHERITED_LEASE_S:
             return False
         if record.clock is None:
             return True
-        return record.clock.bound_low(now) > record.lease_ms
+        return record.clock.get_lower_bound(now) > record.lease_ms
 
     def _release_runs(self, record: WorkerRecord, crashed: bool, now: float) -> int:
         lost = [
@@ -363,7 +367,7 @@
             self._log_lost_runs(record, tasks)
         if record.entry.state is not WorkerState.DRAINING:
             sent = [task for task in tasks if _may_have_been_sent(task)]
-            self._record_losses(sent, crashed, record.heard_ms)
+            self._record_losses(sent, crashed, record.last_clock_ms)
         if crashed and tasks:
             # A worker without runs was drained, and is being moved or maintained.
             self.crashes.note([task.task_id.job_id for task in tasks], now)
@@ -372,7 +376,9 @@
         for job, task in lost:
             if job.state.final:
                 continue
-            if task.suspicion.is_proved(self.crashes.get_doubt(job.submission.job_id)):
+            if task.loss_history.causes_crashes(
+                self.crashes.get_extra_crashes(job.submission.job_id)
+            ):
                 self._fail_crashing_job(job, task)
         return len(lost)
 
@@ -386,7 +392,9 @@
         )
 
     @staticmethod
-    def _record_losses(tasks: t.Sequence[Task], crashed: bool, heard_ms: float) -> None:
+    def _record_losses(
+        tasks: t.Sequence[Task], crashed: bool, last_clock_ms: float
+    ) -> None:
         """Record the runs lost with a worker in the loss histories of their tasks.
 
         Otherwise a task that crashes its workers would be started again without end.
@@ -394,20 +402,21 @@
         :param tasks: the tasks.
         :param crashed: whether the worker crashed. A worker that is only out of reach
             ends its runs, too, but none of them is to blame.
-        :param heard_ms: latest reading of the worker's clock. A run that was started
-            before had not crashed the worker by then, even if no report listed it.
+        :param last_clock_ms: latest reading of the worker's clock. A run that was
+            started before had not crashed the worker by then, even if no report listed
+            it.
         """
         runs = [
             LostRun(
                 task.task_id.job_id,
                 task.confirmed_at is not None,
-                task.measure_stand_ms(heard_ms),
+                task.get_survived_ms(last_clock_ms),
             )
             for task in tasks
         ]
-        blames = weigh_blame(runs) if crashed else [0] * len(runs)
+        blames = assign_blame(runs) if crashed else [0] * len(runs)
         for task, run, blame in zip(tasks, runs, blames, strict=True):
-            task.suspicion = task.suspicion.add_loss(run.young, blame)
+            task.loss_history = task.loss_history.add_loss(run.young, blame)
 
     def _fail_crashing_job(self, job: Job, task: Task) -> None:
         _LOG.info(
@@ -415,7 +424,7 @@
             job=job.submission.job_id,
             task=str(task.task_id),
             failures=task.failures,
-            losses=task.suspicion.losses,
-            blame=task.suspicion.blame,
+            losses=task.loss_history.losses,
+            blame=task.loss_history.blame,
         )
-        self._finish(job, JobState.FAILED)
+        self._end_job(job, JobState.FAILED)
--- a/src/onyxgap/jobs/share_book.py
+++ b/src/onyxgap/jobs/share_book.py
@@ -8,15 +8,15 @@
 
 import attrs
 
-from .amounts import NOTHING
 from .amounts import UNLIMITED
+from .amounts import ZERO_AMOUNT
 from .amounts import Amount
-from .shares import Entry
+from .shares import ShareEntry
 from .shares import TenantShare
 
 
 @attrs.frozen(slots=True)
-class Change:
+class ShareUpdate:
     """A conditional write of a tenant's row.
 
     :param tenant: the tenant.
@@ -27,12 +27,12 @@
 
     tenant: str
     version: int
-    entries: t.Mapping[str, Entry]
+    entries: t.Mapping[str, ShareEntry]
     cap: Amount
 
 
 @attrs.define(eq=False)
-class ShareBook:
+class ShardShares:
     """The shares of all tenants in one shard.
 
     :param shard: the shard.
@@ -46,7 +46,7 @@
     epoch: int
     find_cap: t.Callable[[str], Amount] = lambda tenant: UNLIMITED
     tenants: dict[str, TenantShare] = attrs.field(factory=dict)
-    rows: dict[str, tuple[int, t.Mapping[str, Entry]]] = attrs.field(factory=dict)
+    rows: dict[str, tuple[int, t.Mapping[str, ShareEntry]]] = attrs.field(factory=dict)
     _held_elsewhere: dict[str, Amount] = attrs.field(factory=dict)
     _has_planned: bool = False
     _in_flight: set[str] = attrs.field(factory=set)
@@ -56,12 +56,12 @@
         if share is None:
             share = TenantShare(self.shard, self.epoch)
             share.observe(*self.rows.get(tenant, (0, {})))
-            share.open_plan(self.find_cap(tenant), NOTHING)
+            share.begin_pass(self.find_cap(tenant), ZERO_AMOUNT)
             self.tenants[tenant] = share
         return share
 
     def observe(
-        self, tenant: str, entries: t.Mapping[str, Entry], version: int
+        self, tenant: str, entries: t.Mapping[str, ShareEntry], version: int
     ) -> None:
         """Store a tenant's row, if it is newer than the last one."""
         if version <= self.rows.get(tenant, (0, {}))[0]:
@@ -72,7 +72,7 @@
         if tenant in self.tenants or self.shard in entries:
             self._get_or_create(tenant).observe(version, entries)
 
-    def open_plan(self, usage: t.Mapping[str, Amount]) -> None:
+    def begin_pass(self, usage: t.Mapping[str, Amount]) -> None:
         """Begin a scheduling pass.
 
         :param usage: everything that may be running in the shard, by tenant.
@@ -81,7 +81,7 @@
         for tenant in usage:
             self._get_or_create(tenant)
         for tenant, share in self.tenants.items():
-            share.open_plan(self.find_cap(tenant), usage.get(tenant, NOTHING))
+            share.begin_pass(self.find_cap(tenant), usage.get(tenant, ZERO_AMOUNT))
 
     def admits(self, tenant: str, amount: Amount) -> bool:
         """Tell whether a tenant's share allows a start.
@@ -91,33 +91,33 @@
         """
         return not tenant or self._get_or_create(tenant).admits(amount)
 
-    def take(self, tenant: str, amount: Amount) -> None:
+    def add_usage(self, tenant: str, amount: Amount) -> None:
         """Add a start of this scheduling pass to the tenant's usage."""
         if tenant:
             share = self._get_or_create(tenant)
             share.used += amount
 
-    def miss(self, tenant: str, task: Amount, count: int) -> None:
+    def add_unmet(self, tenant: str, task: Amount, count: int) -> None:
         """Record a tenant's demand that is not started as its share is too small.
 
         :param tenant: the tenant.
         :param task: what each start needs; a gang counts as one start.
         :param count: number of such starts.
         """
-        self._get_or_create(tenant).miss(task, count)
+        self._get_or_create(tenant).add_unmet(task, count)
 
-    def close_plan(self, free: Amount, now: float) -> None:
+    def end_pass(self, free: Amount, now: float) -> None:
         """End a scheduling pass and drop idle tenants.
 
         :param free: free capacity of the shard's workers, for all tenants together.
         :param now: monotonic seconds.
         """
         for tenant, share in list(self.tenants.items()):
-            share.close_plan(free, now)
+            share.end_pass(free, now)
             if share.is_idle() and tenant not in self._in_flight:
                 del self.tenants[tenant]
 
-    def list_due(self) -> list[str]:
+    def list_tenants_to_write(self) -> list[str]:
         """List the tenants whose row needs a write and has none in flight.
 
         The list is empty before the first scheduling pass. Only that pass tells what
@@ -131,27 +131,29 @@
             if tenant not in self._in_flight and share.choose_entry() is not None
         ]
 
-    def get_elsewhere(self) -> t.Mapping[str, Amount]:
+    def get_held_elsewhere(self) -> t.Mapping[str, Amount]:
         """Return what each tenant holds of its cap in other shards, by its row.
 
         Each shard counts with the smaller of its share and its want.
         """
         return self._held_elsewhere
 
-    def _sum_held_elsewhere(self, entries: t.Mapping[str, Entry]) -> Amount:
-        total = NOTHING
+    def _sum_held_elsewhere(self, entries: t.Mapping[str, ShareEntry]) -> Amount:
+        total = ZERO_AMOUNT
         for shard, entry in entries.items():
             if shard != self.shard:
-                total += entry.share.get_smallest(entry.want)
+                total += entry.share.get_elementwise_min(entry.want)
         return total
 
-    def list_waiting(self) -> list[str]:
+    def list_waiting_tenants(self) -> list[str]:
         """List the tenants that need a larger share to start tasks."""
         return [
-            tenant for tenant, share in self.tenants.items() if share.unmet != NOTHING
+            tenant
+            for tenant, share in self.tenants.items()
+            if share.unmet != ZERO_AMOUNT
         ]
 
-    def open_change(self, tenant: str) -> Change | None:
+    def begin_update(self, tenant: str) -> ShareUpdate | None:
         """Prepare a write of a tenant's row, ``None`` if none is needed.
 
         If the new share is smaller, it limits starts at once, before the write is sent.
@@ -163,9 +165,9 @@
         self._in_flight.add(tenant)
         share.pending_share = entry.share
         entries = {**share.entries, self.shard: entry}
-        return Change(tenant, share.version, entries, share.cap)
+        return ShareUpdate(tenant, share.version, entries, share.cap)
 
-    def close_change(self, change: Change, version: int | None) -> None:
+    def end_update(self, change: ShareUpdate, version: int | None) -> None:
         """Record that a write was applied, or that it never will be.
 
         :param change: the write.
--- a/src/onyxgap/jobs/shares.py
+++ b/src/onyxgap/jobs/shares.py
@@ -21,8 +21,8 @@
 from ..exceptions import MALFORMED_ERRORS
 from ..exceptions import DocumentError
 from ..exceptions import Fault
-from .amounts import NOTHING
 from .amounts import UNLIMITED
+from .amounts import ZERO_AMOUNT
 from .amounts import Amount
 
 PEAK_HOLD_S = 1.0
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen(slots=True)
-class Entry:
+class ShareEntry:
     """One shard's entry in a tenant's row.
 
     :param share: most that the tenant may have running in the shard.
@@ -45,12 +45,12 @@
     :param epoch: fencing token of the owner that wrote the entry.
     """
 
-    share: Amount = NOTHING
-    want: Amount = NOTHING
+    share: Amount = ZERO_AMOUNT
+    want: Amount = ZERO_AMOUNT
     epoch: int = 0
 
 
-def encode_entries(entries: t.Mapping[str, Entry]) -> bytes:
+def encode_entries(entries: t.Mapping[str, ShareEntry]) -> bytes:
     """Encode the entries of a tenant's row as JSON."""
     return orjson.dumps(
         {
@@ -60,14 +60,14 @@
     )
 
 
-def decode_entries(value: bytes) -> dict[str, Entry]:
+def decode_entries(value: bytes) -> dict[str, ShareEntry]:
     """Decode the output of :func:`encode_entries`.
 
     :raises DocumentError: if the value is damaged or not such a row.
     """
     try:
         return {
-            shard: Entry(Amount(*share), Amount(*want), epoch)
+            shard: ShareEntry(Amount(*share), Amount(*want), epoch)
             for shard, (share, want, epoch) in orjson.loads(value).items()
         }
     except MALFORMED_ERRORS as error:
@@ -76,7 +76,7 @@
         ) from None
 
 
-def measure_fraction(amount: Amount, cap: Amount) -> float:
+def compute_dominant_fraction(amount: Amount, cap: Amount) -> float:
     """Compute the fraction of a cap that an amount takes of its dominant resource."""
     pairs = zip(attrs.astuple(amount), attrs.astuple(cap), strict=True)
     return max(part / whole if whole else float(part > 0) for part, whole in pairs)
@@ -126,21 +126,21 @@
     epoch: int
     cap: Amount = UNLIMITED
     version: int = 0
-    entries: t.Mapping[str, Entry] = attrs.field(factory=dict)
+    entries: t.Mapping[str, ShareEntry] = attrs.field(factory=dict)
     cap_at_write: Amount | None = None
     pending_share: Amount | None = None
-    used: Amount = NOTHING
-    unmet: Amount = NOTHING
+    used: Amount = ZERO_AMOUNT
+    unmet: Amount = ZERO_AMOUNT
     smallest_unmet: Amount | None = None
-    _start_limit: Amount = NOTHING
-    _peak_demand: Amount = NOTHING
+    _start_limit: Amount = ZERO_AMOUNT
+    _peak_demand: Amount = ZERO_AMOUNT
     _peak_set_at: float = 0.0
 
-    def get_own(self) -> Entry:
+    def get_own_entry(self) -> ShareEntry:
         """Return this shard's entry, an empty one if the row has none."""
-        return self.entries.get(self.shard, Entry())
+        return self.entries.get(self.shard, ShareEntry())
 
-    def open_plan(self, cap: Amount, used: Amount) -> None:
+    def begin_pass(self, cap: Amount, used: Amount) -> None:
         """Begin a scheduling pass.
 
         :param cap: the tenant's cap.
@@ -148,11 +148,11 @@
         """
         # the limit depends on the smallest start that the last pass could not place, so
         # smallest_unmet is reset after it
-        self.cap, self.used, self.unmet = cap, used, NOTHING
+        self.cap, self.used, self.unmet = cap, used, ZERO_AMOUNT
         self._start_limit = self._find_limit()
         self.smallest_unmet = None
 
-    def miss(self, task: Amount, count: int) -> None:
+    def add_unmet(self, task: Amount, count: int) -> None:
         """Record demand that is not started because the share is too small.
 
         :param task: what each start needs; a gang counts as one start.
@@ -167,23 +167,23 @@
             )
 
     def _compute_fraction(self, amount: Amount) -> float:
-        return measure_fraction(amount, self.cap)
+        return compute_dominant_fraction(amount, self.cap)
 
     def _find_limit(self) -> Amount:
         """Compute the most that may be running in this shard after a start."""
         if self.cap == UNLIMITED:
             return UNLIMITED
-        own = self.get_own()
+        own = self.get_own_entry()
         if not self._is_entry_valid(own) or self._is_overcommitted():
-            return NOTHING
-        limit = own.share.get_smallest(self._compute_fair_share())
+            return ZERO_AMOUNT
+        limit = own.share.get_elementwise_min(self._compute_fair_share())
         return (
             limit
             if self.pending_share is None
-            else limit.get_smallest(self.pending_share)
+            else limit.get_elementwise_min(self.pending_share)
         )
 
-    def _is_entry_valid(self, own: Entry) -> bool:
+    def _is_entry_valid(self, own: ShareEntry) -> bool:
         """Tell whether this owner wrote the entry under a cap that still allows it.
 
         An entry of a previous owner can't be relied on: a write of that owner which
@@ -194,7 +194,7 @@
         return self.cap_at_write.fits(self.cap)
 
     def _sum_others(self) -> Amount:
-        total = NOTHING
+        total = ZERO_AMOUNT
         for shard, entry in self.entries.items():
             if shard != self.shard:
                 total += entry.share
@@ -202,7 +202,7 @@
 
     def _is_overcommitted(self) -> bool:
         """Tell whether the shares add up to more than the cap, after it was lowered."""
-        return not (self._sum_others() + self.get_own().share).fits(self.cap)
+        return not (self._sum_others() + self.get_own_entry().share).fits(self.cap)
 
     def admits(self, amount: Amount) -> bool:
         """Tell whether starting this amount stays within the limit of this pass."""
@@ -210,28 +210,28 @@
 
     def is_idle(self) -> bool:
         """Tell whether the shard neither uses, holds nor wants any of the cap."""
-        own = self.get_own()
+        own = self.get_own_entry()
         wanted = (self.used, self.unmet, self._peak_demand, own.share, own.want)
-        return all(amount == NOTHING for amount in wanted)
+        return all(amount == ZERO_AMOUNT for amount in wanted)
 
-    def observe(self, version: int, entries: t.Mapping[str, Entry]) -> None:
+    def observe(self, version: int, entries: t.Mapping[str, ShareEntry]) -> None:
         """Store the row as it was read or written, if it is newer than the last one."""
         if version > self.version:
             self.version, self.entries = version, entries
 
-    def close_plan(self, free: Amount, now: float) -> None:
+    def end_pass(self, free: Amount, now: float) -> None:
         """End a scheduling pass: limit unmet demand and update the peak demand.
 
         :param free: free capacity of the shard's workers, for all tenants together.
         :param now: monotonic seconds.
         """
-        self.unmet = self.unmet.get_smallest(free)
+        self.unmet = self.unmet.get_elementwise_min(free)
         wanted = self.used + self.unmet
         hold_s = CONTENDED_PEAK_HOLD_S if self._is_contended() else PEAK_HOLD_S
         if now - self._peak_set_at > hold_s or self._peak_demand.fits(wanted):
             self._peak_demand, self._peak_set_at = wanted, now
         else:
-            self._peak_demand = self._peak_demand.get_largest(wanted)
+            self._peak_demand = self._peak_demand.get_elementwise_max(wanted)
 
     def _list_wanted_fractions(self) -> list[float]:
         """List the fractions of the cap that the shards want, this shard's last."""
@@ -261,9 +261,10 @@
         others = [
             (-self._compute_fraction(entry.share), shard)
             for shard, entry in self.entries.items()
-            if shard != self.shard and (entry.share, entry.want) != (NOTHING, NOTHING)
+            if shard != self.shard
+            and (entry.share, entry.want) != (ZERO_AMOUNT, ZERO_AMOUNT)
         ]
-        own = (-self._compute_fraction(self.get_own().share), self.shard)
+        own = (-self._compute_fraction(self.get_own_entry().share), self.shard)
         return own <= min(others, default=own)
 
     def _choose_headroom(self) -> Amount:
@@ -274,33 +275,40 @@
         fractions = self._list_wanted_fractions()
         reserved = sum(fraction > 0 for fraction in fractions) / HEADROOM_DIVISOR
         if sum(fractions) + reserved > 1.0:
-            return NOTHING
+            return ZERO_AMOUNT
         return self.cap.divide(HEADROOM_DIVISOR)
 
     def _choose_share(self) -> Amount:
         """Choose the share that this shard should have, whatever it has now."""
-        if self._peak_demand == NOTHING:
-            return NOTHING
+        if self._peak_demand == ZERO_AMOUNT:
+            return ZERO_AMOUNT
         target = self._peak_demand + self._choose_headroom()
-        free = (self.cap - self._sum_others()).get_largest(NOTHING)
-        target = target.get_smallest(self._compute_fair_share()).get_smallest(free)
+        free = (self.cap - self._sum_others()).get_elementwise_max(ZERO_AMOUNT)
+        target = target.get_elementwise_min(
+            self._compute_fair_share()
+        ).get_elementwise_min(free)
         # the share covers what may be running, even above a cap that was lowered
-        return target.get_largest(self.used)
+        return target.get_elementwise_max(self.used)
 
-    def choose_entry(self) -> Entry | None:
+    def choose_entry(self) -> ShareEntry | None:
         """Choose the entry to write, ``None`` if no write is needed."""
-        own = self.get_own()
-        if own.epoch > self.epoch or (self.cap == UNLIMITED and own.share == NOTHING):
+        own = self.get_own_entry()
+        if own.epoch > self.epoch or (
+            self.cap == UNLIMITED and own.share == ZERO_AMOUNT
+        ):
             # never overwrite the entry of a successor
             return None
-        chosen = Entry(self._choose_share(), self._peak_demand, self.epoch)
+        chosen = ShareEntry(self._choose_share(), self._peak_demand, self.epoch)
         if self._needs_write(own, chosen):
             return chosen
         return None
 
-    def _needs_write(self, own: Entry, chosen: Entry) -> bool:
+    def _needs_write(self, own: ShareEntry, chosen: ShareEntry) -> bool:
         if not self._is_entry_valid(own):
-            return own != Entry() or (self.used, self.unmet) != (NOTHING, NOTHING)
+            return own != ShareEntry() or (self.used, self.unmet) != (
+                ZERO_AMOUNT,
+                ZERO_AMOUNT,
+            )
         if self._is_overcommitted():
             return chosen.share != own.share
         return (
@@ -309,18 +317,18 @@
             or self._is_want_outdated(own, chosen)
         )
 
-    def _needs_larger_share(self, own: Entry, chosen: Entry) -> bool:
+    def _needs_larger_share(self, own: ShareEntry, chosen: ShareEntry) -> bool:
         wanted = self.used + self.unmet
         return not wanted.fits(own.share) and chosen.share != own.share
 
-    def _holds_excess(self, own: Entry, chosen: Entry) -> bool:
-        if chosen.share == NOTHING:
-            return own != Entry(epoch=own.epoch)
+    def _holds_excess(self, own: ShareEntry, chosen: ShareEntry) -> bool:
+        if chosen.share == ZERO_AMOUNT:
+            return own != ShareEntry(epoch=own.epoch)
         return not (own.share - chosen.share).fits(self._choose_headroom())
 
-    def _is_want_outdated(self, own: Entry, chosen: Entry) -> bool:
+    def _is_want_outdated(self, own: ShareEntry, chosen: ShareEntry) -> bool:
         """Tell whether the other shards rely on an outdated want of this shard."""
         headroom = self._choose_headroom()
         if not (own.want - chosen.want).fits(headroom):
             return True
-        return self.unmet != NOTHING and not (chosen.want - own.want).fits(headroom)
+        return self.unmet != ZERO_AMOUNT and not (chosen.want - own.want).fits(headroom)
--- a/src/onyxgap/jobs/stragglers.py
+++ b/src/onyxgap/jobs/stragglers.py
@@ -23,20 +23,20 @@
 the tasks that it gets about a second."""
 MAX_BLOCK_S = 8.0
 """Upper bound of the block time, which doubles each time the worker is slow again."""
-MOST_MOVES = 2
+MAX_MOVES = 2
 """Number of times that a task is moved; a task that is slow everywhere then stays."""
 
 
-class Pace(enum.Enum):
+class SpeedClass(enum.Enum):
     """Speed class of a worker, by the progress of its tasks."""
 
     UNKNOWN = "unknown"
-    SOUND = "sound"
+    NORMAL = "sound"
     SLOW = "slow"
-    STANDING = "standing"
+    STALLED = "standing"
 
 
-def measure_ratio(task: Task, siblings: t.Iterable[Task]) -> float | None:
+def get_relative_speed(task: Task, siblings: t.Iterable[Task]) -> float | None:
     """Compare the speed of a task with that of its step on other workers.
 
     :param task: the task.
@@ -56,27 +56,27 @@
     return task.progress.speed / statistics.median(others) if others else None
 
 
-def judge_pace(speeds: t.Sequence[float], ratios: t.Sequence[float]) -> Pace:
+def classify_speed(speeds: t.Sequence[float], ratios: t.Sequence[float]) -> SpeedClass:
     """Classify a worker by the speed of its tasks.
 
     :param speeds: known speeds of its tasks.
     :param ratios: known speeds of its tasks relative to their steps on other workers.
     """
     if not speeds:
-        return Pace.UNKNOWN
+        return SpeedClass.UNKNOWN
     if not any(speeds):
-        return Pace.STANDING
+        return SpeedClass.STALLED
     if (
         len(ratios) >= MIN_COMPARED_TASKS
         and statistics.median(ratios) < SLOW_SPEED_RATIO
     ):
-        return Pace.SLOW
-    return Pace.SOUND
+        return SpeedClass.SLOW
+    return SpeedClass.NORMAL
 
 
-def choose_block(findings: int) -> float:
+def get_block_time(slow_streak: int) -> float:
     """Give the number of seconds for which a slow worker gets no new tasks.
 
-    :param findings: number of times in a row that it was found slow before.
+    :param slow_streak: number of times in a row that it was found slow before.
     """
-    return min(INITIAL_BLOCK_S * 2.0**findings, MAX_BLOCK_S)
+    return min(INITIAL_BLOCK_S * 2.0**slow_streak, MAX_BLOCK_S)
--- a/src/onyxgap/jobs/tenants.py
+++ b/src/onyxgap/jobs/tenants.py
@@ -12,7 +12,7 @@
 
 from .amounts import UNLIMITED
 from .amounts import Amount
-from .amounts import measure_task
+from .amounts import get_task_amount
 from .messages import Step
 
 DIGEST_HEX_DIGITS = 32
@@ -21,7 +21,7 @@
 """Longer keys are refused without hashing, which limits the cost per call."""
 
 
-class KeyFault(enum.Enum):
+class KeyRejection(enum.Enum):
     """Why a caller could not be authenticated by its key."""
 
     MISSING = "no key"
@@ -46,7 +46,7 @@
     cap: Amount = UNLIMITED
 
 
-class TenantBounds(t.Protocol):
+class TenantLimits(t.Protocol):
     """Caps and weights of tenants in the configuration in force."""
 
     def find_cap(self, tenant: str) -> Amount:
@@ -65,7 +65,7 @@
 
     tenant: str = ""
 
-    def may_use(self, job_tenant: str) -> bool:
+    def may_access(self, job_tenant: str) -> bool:
         """Tell whether the caller may read and cancel a job.
 
         A job without a tenant was submitted while its queue was public.
@@ -75,7 +75,7 @@
         return not self.tenant or job_tenant in ("", self.tenant)
 
 
-ANYONE = Caller()
+ANONYMOUS = Caller()
 """The caller of a queue that needs no key; keys that it sends are ignored."""
 
 
@@ -87,7 +87,7 @@
     return hashlib.sha256(key).hexdigest()[:DIGEST_HEX_DIGITS]
 
 
-def find_step_above(steps: t.Sequence[Step], cap: Amount) -> int | None:
+def find_oversized_step(steps: t.Sequence[Step], cap: Amount) -> int | None:
     """Find the first step that can never start within a cap.
 
     A single task must fit within the cap; a gang must fit as a whole.
@@ -98,7 +98,7 @@
     """
     for number, step in enumerate(steps):
         task_count = step.count if step.gang else 1
-        if not (measure_task(step) * task_count).fits(cap):
+        if not (get_task_amount(step) * task_count).fits(cap):
             return number
     return None
 
@@ -108,7 +108,9 @@
     return {digest: tenant.name for tenant in tenants for digest in tenant.key_digests}
 
 
-def identify(keys: t.Sequence[bytes], index: t.Mapping[str, str]) -> Caller | KeyFault:
+def identify(
+    keys: t.Sequence[bytes], index: t.Mapping[str, str]
+) -> Caller | KeyRejection:
     """Authenticate a caller by its key.
 
     :param keys: all keys that the caller sent; exactly one is accepted.
@@ -116,10 +118,10 @@
     :returns: the caller, or the reason why it was refused.
     """
     if not keys or keys == [b""]:
-        return KeyFault.MISSING
+        return KeyRejection.MISSING
     if len(keys) > 1:
-        return KeyFault.REPEATED
+        return KeyRejection.REPEATED
     if len(keys[0]) > MAX_KEY_BYTES:
-        return KeyFault.TOO_LONG
+        return KeyRejection.TOO_LONG
     tenant = index.get(digest_key(keys[0]))
-    return KeyFault.UNKNOWN if tenant is None else Caller(tenant)
+    return KeyRejection.UNKNOWN if tenant is None else Caller(tenant)
--- a/src/onyxgap/jobs/timeouts.py
+++ b/src/onyxgap/jobs/timeouts.py
@@ -7,11 +7,11 @@
 
 import attrs
 
-LEAST_S = 0.35
+MIN_TIMEOUT_S = 0.35
 """A write takes about 10 ms, and 300 ms when the store has just turned 60 times slower.
 With 0.15 s, writes were retried while they still waited, and partitions refused
 writes."""
-MOST_S = 1.0
+MAX_TIMEOUT_S = 1.0
 """A transaction takes 300 ms when the store is 60 times slower, and may queue too."""
 LATENCY_FACTOR = 5.0
 """Ratio of timeout to latency. Covers writes that queue behind a few others in their
@@ -35,8 +35,8 @@
 
     def get(self) -> float:
         """Give the timeout of the next write, in seconds."""
-        base_s = max(LEAST_S, LATENCY_FACTOR * self.latency_s)
-        return min(MOST_S, base_s * self.factor)
+        base_s = max(MIN_TIMEOUT_S, LATENCY_FACTOR * self.latency_s)
+        return min(MAX_TIMEOUT_S, base_s * self.factor)
 
     def note_answer(self, took_s: float) -> None:
         """Record a response.
@@ -46,6 +46,6 @@
         self.latency_s += SMOOTHING * (took_s - self.latency_s)
         self.factor = 1.0
 
-    def note_silence(self) -> None:
+    def record_timeout(self) -> None:
         """Record that no response arrived within the timeout."""
-        self.factor = min(self.factor * BACKOFF_FACTOR, MOST_S / LEAST_S)
+        self.factor = min(self.factor * BACKOFF_FACTOR, MAX_TIMEOUT_S / MIN_TIMEOUT_S)
