--- a/src/onyxgap/jobs/workers.py
+++ b/src/onyxgap/jobs/workers.py
@@ -11,7 +11,7 @@
 
 MAX_CLOCK_DRIFT = 0.02
 """Largest share by which a worker's clock runs slow, as published by the platform."""
-MS = 1000.0
+MS_PER_S = 1000.0
 """Milliseconds in a second."""
 
 
@@ -26,7 +26,7 @@
     NO_TICKET = "no-ticket"
     UNHEALTHY = "unhealthy"
     INVALID = "invalid"
-    OTHER_LIFE = "other-life"
+    OTHER_WORKER = "other-life"
     NOT_SENT = "not-sent"
     NO_ANSWER = "no-answer"
 
@@ -127,7 +127,7 @@
     born: int = 0
 
 
-class Workers(t.Protocol):
+class WorkerClient(t.Protocol):
     """Client for calls to workers; no method raises for a failed call."""
 
     async def start(self, order: StartOrder) -> Reply:
@@ -163,13 +163,13 @@
 
     def observe(self, sample_ms: float, now: float) -> None:
         """Use a new reading, unless the present one gives a higher lower bound."""
-        if sample_ms >= self.bound_low(now):
+        if sample_ms >= self.get_lower_bound(now):
             self.sample_ms, self.read_at = sample_ms, now
 
     def estimate(self, now: float) -> float:
         """Return the estimated reading of the worker's clock, in milliseconds."""
-        return self.sample_ms + (now - self.read_at) * MS
+        return self.sample_ms + (now - self.read_at) * MS_PER_S
 
-    def bound_low(self, now: float) -> float:
+    def get_lower_bound(self, now: float) -> float:
         """Return the lowest possible reading of the worker's clock, in milliseconds."""
-        return self.sample_ms + (now - self.read_at) * MS * (1 - MAX_CLOCK_DRIFT)
+        return self.sample_ms + (now - self.read_at) * MS_PER_S * (1 - MAX_CLOCK_DRIFT)
--- a/src/onyxgap/platform/advice.py
+++ b/src/onyxgap/platform/advice.py
@@ -1,4 +1,4 @@
-"""The platform's policy service behind :class:`~onyxgap.jobs.advice.Adviser`."""
+"""The platform's policy service behind :class:`~onyxgap.jobs.advice.PolicyClient`."""
 
 import typing as t
 
--- a/src/onyxgap/platform/callers.py
+++ b/src/onyxgap/platform/callers.py
@@ -18,7 +18,7 @@
 from ..exceptions import DocumentError
 from ..exceptions import Fault
 from ..jobs.desk import Denied
-from ..jobs.desk import Desk
+from ..jobs.desk import JobApi
 from ..jobs.desk import SubmitOutcome
 from ..jobs.desk import SubmitResult
 from ..jobs.desk import Unavailable
@@ -26,9 +26,9 @@
 from ..jobs.messages import Submission
 from ..jobs.routing import Route
 from ..jobs.submissions import check_submission
-from ..jobs.tenants import ANYONE
+from ..jobs.tenants import ANONYMOUS
 from ..jobs.tenants import Caller
-from ..jobs.tenants import KeyFault
+from ..jobs.tenants import KeyRejection
 
 READY_PATH = "/readyz"
 _JOB_ID = re.compile(r"[0-9a-fA-F]{16}")
@@ -101,7 +101,7 @@
 
 
 def decode_submission(
-    body: bytes, job_id: str, route: Route, caller: Caller = ANYONE
+    body: bytes, job_id: str, route: Route, caller: Caller = ANONYMOUS
 ) -> Submission:
     """Read the body of a submission.
 
@@ -161,7 +161,7 @@
     :param closing: whether answers should end their connections.
     """
 
-    desk: Desk
+    desk: JobApi
     closing: bool = False
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -201,7 +201,7 @@
             return
         rest = path[len(found.prefix) :]
         caller = await self.desk.identify(found, keys, rest)
-        if isinstance(caller, KeyFault):
+        if isinstance(caller, KeyRejection):
             await _send_problem(send, 401, caller.value, [_CHALLENGE])
             return
         if isinstance(caller, Unavailable):
@@ -297,7 +297,7 @@
     :param render: renders the metrics.
     """
 
-    desk: Desk
+    desk: JobApi
     render: t.Callable[[], bytes]
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
--- a/src/onyxgap/platform/cloud.py
+++ b/src/onyxgap/platform/cloud.py
@@ -1,4 +1,4 @@
-"""The platform's interface to VMs behind :class:`~onyxgap.pools.messages.Cloud`."""
+"""The platform's VM API behind :class:`~onyxgap.pools.messages.CloudClient`."""
 
 import typing as t
 import urllib.parse
--- a/src/onyxgap/platform/workers.py
+++ b/src/onyxgap/platform/workers.py
@@ -31,7 +31,7 @@
 _BY_STATUS: t.Mapping[int, ReplyKind] = {
     200: ReplyKind.DONE,
     400: ReplyKind.INVALID,
-    421: ReplyKind.OTHER_LIFE,
+    421: ReplyKind.OTHER_WORKER,
     429: ReplyKind.UNHEALTHY,
     503: ReplyKind.UNHEALTHY,
 }
@@ -65,9 +65,9 @@
 
 
 def _decode_running(raw: t.Sequence[t.Any]) -> RunningTask:
-    figure = float(raw[4]) if len(raw) > 4 else 0.0
+    measurement = float(raw[4]) if len(raw) > 4 else 0.0
     return RunningTask(
-        parse_task_id(raw[0]), int(raw[1]), str(raw[2] or ""), int(raw[3]), figure
+        parse_task_id(raw[0]), int(raw[1]), str(raw[2] or ""), int(raw[3]), measurement
     )
 
 
--- a/src/onyxgap/pools/fleet_state.py
+++ b/src/onyxgap/pools/fleet_state.py
@@ -114,7 +114,7 @@
         for name in row.ordered:
             self._last_ordered_at[name] = now
             self._paused_until[name] = now + pause_s
-        self.restore_done(row)
+        self.restore_maintained_vms(row)
 
     def forget_orders(self, before: float) -> None:
         """Forget which VMs received orders, except for recent and pending orders.
@@ -127,7 +127,7 @@
             if at >= before or name in self.pending_orders
         }
 
-    def restore_done(self, row: FleetRow) -> None:
+    def restore_maintained_vms(self, row: FleetRow) -> None:
         """Restore which VMs have started their maintenance."""
         for number, names in row.done.items():
             progress = self.waves.get(number)
@@ -164,7 +164,7 @@
                 duration_s=wave.duration_s,
             )
 
-    def apply_list(self, vms: t.Iterable[Vm], sent_at: float) -> None:
+    def apply_vm_list(self, vms: t.Iterable[Vm], sent_at: float) -> None:
         """Update the VMs from a list of the platform.
 
         :param vms: all VMs.
@@ -232,7 +232,7 @@
             self._refused_moves.add((order.vm, order.pool))
             self._paused_until[order.vm] = now + REFUSED_PAUSE_S
 
-    def find_complete(self) -> list[int]:
+    def list_complete_waves(self) -> list[int]:
         """List maintenance waves whose VMs have all started maintenance or are gone."""
         return [
             number
--- a/src/onyxgap/pools/messages.py
+++ b/src/onyxgap/pools/messages.py
@@ -212,7 +212,7 @@
         raise DocumentError([Fault("$", f"invalid fleet row: {error!r}")]) from None
 
 
-class Cloud(t.Protocol):
+class CloudClient(t.Protocol):
     """Client of the platform's VM interface."""
 
     async def list_vms(self) -> tuple[Vm, ...]:
--- a/src/onyxgap/pools/sizing.py
+++ b/src/onyxgap/pools/sizing.py
@@ -93,7 +93,7 @@
         self._job_counters[report.shard] = (report.epoch, report.arrived_jobs)
         self.forecast.observe(report.shard, now, max(0, report.arrived_jobs - jobs))
         self.load.observe(report, now)
-        self.forecast.record_demand(report.shard, get_need(report))
+        self.forecast.record_demand(report.shard, get_vm_demand(report))
 
     def advance(self, now: float) -> None:
         """Advance the clock for shards without a new report."""
@@ -141,8 +141,8 @@
         return allocate_vms(claims, total)
 
     def _build_claim(self, report: PoolReport, base: int, now: float) -> PoolClaim:
-        expected = count_needed(report, self.load.get_load(report.shard, now))
-        lower_bound = count_needed(
+        expected = count_needed_vms(report, self.load.get_load(report.shard, now))
+        lower_bound = count_needed_vms(
             report, self.load.get_load_lower_bound(report.shard, now)
         )
         needed = max(
@@ -180,7 +180,7 @@
         return start is not None and now < start - SCALE_UP_LEAD_S
 
 
-def get_need(report: PoolReport, offered_load: float = 0.0) -> float:
+def get_vm_demand(report: PoolReport, offered_load: float = 0.0) -> float:
     """Return the VMs that a shard can fill with its current and arriving work.
 
     :param report: its report.
@@ -191,10 +191,10 @@
     )
 
 
-def count_needed(report: PoolReport, offered_load: float = 0.0) -> int:
+def count_needed_vms(report: PoolReport, offered_load: float = 0.0) -> int:
     """Count the VMs that a shard needs now, including headroom.
 
     :param report: its report.
     :param offered_load: VMs that arriving work keeps busy.
     """
-    return math.ceil(get_need(report, offered_load) * HEADROOM)
+    return math.ceil(get_vm_demand(report, offered_load) * HEADROOM)
--- a/src/onyxgap/pools/waves.py
+++ b/src/onyxgap/pools/waves.py
@@ -14,7 +14,7 @@
 from .messages import VmOrder
 from .messages import VmState
 from .messages import Wave
-from .sizing import count_needed
+from .sizing import count_needed_vms
 
 WAVE_MARGIN_S = 4.0
 """Time before a wave's deadline by which maintenance of its last VM should start."""
@@ -110,7 +110,7 @@
         if report is None or pool not in self.sizes:
             # its demand is not known yet
             return 0
-        needed = count_needed(report)
+        needed = count_needed_vms(report)
         share = 1.0 if pool in self.busy else IDLE_SHARE
         kept = max(needed, math.ceil(self.sizes.get(pool, 0) * share))
         return self._count_schedulable(pool) - kept
--- a/src/onyxgap/standins/deployment.py
+++ b/src/onyxgap/standins/deployment.py
@@ -12,8 +12,8 @@
 import anyio.abc
 import attrs
 
-from ..daemons.control import ControlParts
-from ..daemons.entry import EntryParts
+from ..daemons.control import ControlProcess
+from ..daemons.entry import EntryProcess
 from ..manifest import Manifest
 from ..operations import apply_manifest
 from ..ports import ListedVm
@@ -126,7 +126,7 @@
 
 def build_entry(deployment: "Deployment", row: MemberRow, gate: PlatformGate) -> t.Any:
     """Build the parts of a real entry."""
-    parts = EntryParts(
+    parts = EntryProcess(
         row,
         gate,
         deployment.network.attach(row.name, lambda frame: parts.handle_frame(frame)),
@@ -141,7 +141,7 @@
     deployment: "Deployment", row: MemberRow, gate: PlatformGate
 ) -> t.Any:
     """Build the parts of a real control."""
-    parts = ControlParts(
+    parts = ControlProcess(
         row,
         gate,
         deployment.network.attach(row.name, lambda frame: parts.handle_frame(frame)),
--- a/src/onyxgap/standins/emulator/callers.py
+++ b/src/onyxgap/standins/emulator/callers.py
@@ -15,7 +15,7 @@
 from ...jobs.messages import Submission
 from ...jobs.messages import TaskId
 from ...jobs.routing import Route
-from ...jobs.tenants import KeyFault
+from ...jobs.tenants import KeyRejection
 from .nature import TaskNature
 from .script import LoadLine
 from .script import ServeLine
@@ -37,7 +37,7 @@
 
     async def submit(
         self, route: Route, submission: Submission, key: str
-    ) -> SubmitOutcome | KeyFault | None:
+    ) -> SubmitOutcome | KeyRejection | None:
         """Hand a job in; ``None`` when the connection broke."""
 
     async def get_state(self, route: Route, job_id: str, key: str) -> t.Any:
@@ -71,7 +71,7 @@
     objective_s: float
     poison: bool = False
     crashing: bool = False
-    outcomes: list[SubmitOutcome | KeyFault | None] = attrs.field(factory=list)
+    outcomes: list[SubmitOutcome | KeyRejection | None] = attrs.field(factory=list)
     accepted_at: float | None = None
     cancelled_at: float | None = None
     cancel_requested: bool = False
@@ -234,7 +234,7 @@
             if node is not None:
                 outcome = await self._send(node, notes)
             notes.outcomes.append(outcome)
-            if isinstance(outcome, KeyFault):
+            if isinstance(outcome, KeyRejection):
                 return False
             if outcome is SubmitOutcome.ACCEPTED:
                 notes.accepted_at = notes.accepted_at or anyio.current_time()
@@ -244,7 +244,7 @@
 
     async def _send(
         self, node: CallerNode, notes: JobNotes
-    ) -> SubmitOutcome | KeyFault | None:
+    ) -> SubmitOutcome | KeyRejection | None:
         submission = notes.submission
         key = self.tenancy.draw_key(submission.tenant) if submission.tenant else ""
         access = self.tenancy.open_access(key) if key else None
@@ -300,7 +300,7 @@
         with anyio.move_on_after(PATIENCE_S):
             node = self.rng.choice(nodes)
             state = await self._call(node.get_state, notes)
-        if isinstance(state, Unavailable | KeyFault):
+        if isinstance(state, Unavailable | KeyRejection):
             return
         if not notes.shown or notes.get_last_state() is not state:
             notes.shown.append((anyio.current_time(), state))
--- a/src/onyxgap/standins/emulator/checks.py
+++ b/src/onyxgap/standins/emulator/checks.py
@@ -7,11 +7,11 @@
 import attrs
 
 from ...jobs.amounts import Amount
-from ...jobs.amounts import measure_task
+from ...jobs.amounts import get_task_amount
 from ...jobs.desk import SubmitOutcome
 from ...jobs.messages import JobState
 from ...jobs.messages import TaskId
-from ...jobs.tenants import KeyFault
+from ...jobs.tenants import KeyRejection
 from ...pools.messages import VmActionKind
 from ...pools.messages import Wave
 from .breach import Breach
@@ -62,7 +62,7 @@
     def measure_run(self, record: RunRecord) -> tuple[str, Amount]:
         """Give the tenant of a run, and what it has in use."""
         submission = self.callers.jobs[record.task.job_id].submission
-        return submission.tenant, measure_task(submission.steps[record.task.step])
+        return submission.tenant, get_task_amount(submission.steps[record.task.step])
 
 
 def _group_runs(evidence: Evidence) -> dict[TaskId, list[RunRecord]]:
@@ -149,7 +149,7 @@
             yield Breach("unasked", record.began, f"{record.task} after its cancel")
         refusals = [
             item in (SubmitOutcome.REFUSED, SubmitOutcome.OVERLOADED)
-            or isinstance(item, KeyFault)
+            or isinstance(item, KeyRejection)
             for item in notes.outcomes
         ]
         if refusals and all(refusals):
--- a/src/onyxgap/standins/emulator/faults.py
+++ b/src/onyxgap/standins/emulator/faults.py
@@ -39,7 +39,7 @@
             node = slot.node
             if node is None:
                 continue
-            if shard in node.owners or (target == "holder" and node.holder):
+            if shard in node.owners or (target == "holder" and node.fleet_controller):
                 return slot
         return self.rng.choice(self.slots)
 
--- a/src/onyxgap/standins/emulator/peers.py
+++ b/src/onyxgap/standins/emulator/peers.py
@@ -9,9 +9,9 @@
 
 from ...jobs.notices import Notice
 from ...jobs.notices import OnNotice
+from ...jobs.passing import ForwardFailure
 from ...jobs.passing import PassedAnswer
 from ...jobs.passing import PassedCall
-from ...jobs.passing import PassFailure
 from .gate import NodeGate
 
 DELAY_S = 0.002
@@ -93,12 +93,12 @@
 
     async def ask(
         self, address: str, call: PassedCall, timeout_s: float
-    ) -> PassedAnswer | PassFailure:
+    ) -> PassedAnswer | ForwardFailure:
         """Pass a call on to one node."""
         found = self.network.answering.get(address)
         if found is None or "peers" in self.gate.cut_from:
             await anyio.sleep(DELAY_S)
-            return PassFailure.NOT_SENT
+            return ForwardFailure.NOT_SENT
         gate, answer = found
         lose_share = self.network.lose_share
         with anyio.move_on_after(timeout_s):
@@ -110,7 +110,7 @@
             lost = bool(lose_share) and self.network.rng.random() < lose_share
             if self.network.answering.get(address) == found and not lost:
                 return answered
-        return PassFailure.NO_ANSWER
+        return ForwardFailure.NO_ANSWER
 
     async def run(self, answer: Answer) -> None:
         """Answer the calls of others until cancelled."""
--- a/src/onyxgap/standins/emulator/policies.py
+++ b/src/onyxgap/standins/emulator/policies.py
@@ -8,7 +8,7 @@
 from ...pools.sizing import MIN_VMS
 from ...pools.sizing import PoolSizer
 from ...pools.sizing import Sizer
-from ...pools.sizing import count_needed
+from ...pools.sizing import count_needed_vms
 
 
 @attrs.define
@@ -56,7 +56,7 @@
     ) -> dict[str, int]:
         """Choose what each pool needs at this moment."""
         return {
-            shard: max(count_needed(report), MIN_VMS)
+            shard: max(count_needed_vms(report), MIN_VMS)
             for shard, report in reports.items()
         }
 
--- a/src/onyxgap/standins/emulator/rows.py
+++ b/src/onyxgap/standins/emulator/rows.py
@@ -2,7 +2,7 @@
 
 import orjson
 
-from ...daemons.node_view import Decoders
+from ...daemons.node_base import Decoders
 from ...jobs.amounts import Amount
 from ...jobs.messages import WorkerEntry
 from ...jobs.messages import WorkerState
--- a/src/onyxgap/standins/emulator/slots.py
+++ b/src/onyxgap/standins/emulator/slots.py
@@ -11,13 +11,13 @@
 from ...daemons.node import Node
 from ...jobs.desk import SubmitOutcome
 from ...jobs.desk import Unavailable
+from ...jobs.health import MonitoredStore
 from ...jobs.health import StoreHealth
-from ...jobs.health import WatchedStore
 from ...jobs.messages import Submission
 from ...jobs.routing import Route
 from ...jobs.settings import NodeSettings
 from ...jobs.tenants import Caller
-from ...jobs.tenants import KeyFault
+from ...jobs.tenants import KeyRejection
 from ...pools.sizing import Sizer
 from ...settings import Address
 from .cloud import EmulatedCloud
@@ -106,7 +106,7 @@
         )
         self.node = Node(
             settings,
-            WatchedStore(client, health, clocks),
+            MonitoredStore(client, health, clocks),
             health,
             EmulatedWorkersClient(day.workers, self.gate),
             EmulatedCloudClient(day.cloud, self.gate),
@@ -141,7 +141,7 @@
 
     async def submit(
         self, route: Route, submission: Submission, key: str
-    ) -> SubmitOutcome | KeyFault | None:
+    ) -> SubmitOutcome | KeyRejection | None:
         """Hand a job in; ``None`` when the connection broke."""
         node = self.node
         if node is None:
@@ -152,7 +152,7 @@
         caller = await self._identify(node, route, submission.job_id, key)
         if isinstance(caller, Unavailable):
             return SubmitOutcome.REFUSED
-        if isinstance(caller, KeyFault):
+        if isinstance(caller, KeyRejection):
             return caller
         owned = attrs.evolve(submission, tenant=caller.tenant)
         result = await node.front.submit(owned)
@@ -161,7 +161,7 @@
     @staticmethod
     async def _identify(
         node: Node, route: Route, job_id: str, key: str
-    ) -> Caller | KeyFault | Unavailable:
+    ) -> Caller | KeyRejection | Unavailable:
         keys = [key.encode()] if key else []
         return await node.desk.identify(route, keys, job_id)
 
--- a/src/onyxgap/standins/emulator/tenancy.py
+++ b/src/onyxgap/standins/emulator/tenancy.py
@@ -10,7 +10,7 @@
 from ...jobs.amounts import Amount
 from ...jobs.desk import SubmitOutcome
 from ...jobs.messages import JobState
-from ...jobs.tenants import KeyFault
+from ...jobs.tenants import KeyRejection
 from .script import TenantLine
 
 FIRST_KEYS = 2
@@ -61,14 +61,14 @@
     sent_at: float
     answered_at: float | None = None
     served: bool = False
-    fault: KeyFault | None = None
+    fault: KeyRejection | None = None
 
     def note(self, answer: t.Any) -> None:
         """Note the answer to a submission, a question for the state or a cancel."""
         self.answered_at = anyio.current_time()
         self.served = answer is SubmitOutcome.ACCEPTED or answer is True
         self.served = self.served or isinstance(answer, JobState)
-        self.fault = answer if isinstance(answer, KeyFault) else None
+        self.fault = answer if isinstance(answer, KeyRejection) else None
 
 
 @attrs.define(eq=False)
@@ -133,7 +133,7 @@
         within = [change.cap for change in changes if since < change.at <= until]
         highest = before[-1] if before else changes[0].cap
         for cap in within:
-            highest = highest.get_largest(cap)
+            highest = highest.get_elementwise_max(cap)
         return highest
 
     def draw_tenant(self, rng: random.Random) -> str:
--- a/src/onyxgap/standins/emulator/tenant_checks.py
+++ b/src/onyxgap/standins/emulator/tenant_checks.py
@@ -3,7 +3,7 @@
 import collections
 import typing as t
 
-from ...jobs.amounts import NOTHING
+from ...jobs.amounts import ZERO_AMOUNT
 from ...jobs.amounts import Amount
 from .breach import Breach
 from .runs import RunRecord
@@ -67,7 +67,7 @@
             events.append((record.ended, False, record))
     # at one moment ends go first
     events.sort(key=lambda event: event[:2])
-    used: dict[str, Amount] = collections.defaultdict(lambda: NOTHING)
+    used: dict[str, Amount] = collections.defaultdict(lambda: ZERO_AMOUNT)
     for at, starts, record in events:
         tenant, amount = find(record)
         if not tenant:
--- a/src/onyxgap/standins/emulator/workers.py
+++ b/src/onyxgap/standins/emulator/workers.py
@@ -338,7 +338,7 @@
         if worker is None:
             return Reply(ReplyKind.NOT_SENT, detail="refused")
         if worker.entry.worker_id != worker_id:
-            return Reply(ReplyKind.OTHER_LIFE, worker.read_clock())
+            return Reply(ReplyKind.OTHER_WORKER, worker.read_clock())
         return worker
 
     async def _answer(self, reply: Reply) -> Reply:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,12 +6,12 @@
 from onyxgap.jobs import tables
 from onyxgap.jobs.admission import MAX_RETRY_S
 from onyxgap.jobs.admission import SCALE_UP_S
-from onyxgap.jobs.admission import Gate
-from onyxgap.jobs.admission import Outlook
-from onyxgap.jobs.admission import PoolRoom
+from onyxgap.jobs.admission import AdmissionController
+from onyxgap.jobs.admission import DelayEstimate
+from onyxgap.jobs.admission import PoolCapacity
 from onyxgap.jobs.admission import QueueDelay
-from onyxgap.jobs.admission import decode_outlook
-from onyxgap.jobs.admission import encode_outlook
+from onyxgap.jobs.admission import decode_delay_estimate
+from onyxgap.jobs.admission import encode_delay_estimate
 from onyxgap.jobs.job import Job
 from onyxgap.jobs.messages import Step
 from onyxgap.jobs.messages import Submission
@@ -43,15 +43,15 @@
 def test_job_is_rejected_only_if_its_result_would_be_useless(
     line: QueueDelay, refused: bool
 ) -> None:
-    overload = Gate().judge(JOB, Outlook(within=line), 1, 10.0)
+    overload = AdmissionController().check(JOB, DelayEstimate(within=line), 1, 10.0)
     assert (overload is not None) is refused
 
 
 def test_tenant_over_its_share_has_a_delay_of_its_own() -> None:
-    outlook = Outlook(beyond=LONG_DELAY, over=("large",))
-    assert Gate().judge(JOB, outlook, 1, 10.0) is None
+    outlook = DelayEstimate(beyond=LONG_DELAY, over=("large",))
+    assert AdmissionController().check(JOB, outlook, 1, 10.0) is None
     large = attrs.evolve(JOB, tenant="large")
-    assert Gate().judge(large, outlook, 1, 10.0) is not None
+    assert AdmissionController().check(large, outlook, 1, 10.0) is not None
 
 
 @pytest.mark.parametrize(
@@ -62,35 +62,38 @@
     ],
 )
 def test_scheduled_and_long_running_jobs_are_always_admitted(job: Submission) -> None:
-    assert Gate().judge(job, Outlook(within=LONG_DELAY), 1, 10.0) is None
+    assert (
+        AdmissionController().check(job, DelayEstimate(within=LONG_DELAY), 1, 10.0)
+        is None
+    )
 
 
-def list_retry_times(gate: Gate, count: int, now: float) -> list[int]:
-    outlook = Outlook(within=LONG_DELAY, job_s=0.05)
-    rejections = [gate.judge(JOB, outlook, 10, now) for _ in range(count)]
+def list_retry_times(gate: AdmissionController, count: int, now: float) -> list[int]:
+    outlook = DelayEstimate(within=LONG_DELAY, job_s=0.05)
+    rejections = [gate.check(JOB, outlook, 10, now) for _ in range(count)]
     return [item.retry_after_s for item in rejections if item is not None]
 
 
 def test_rejected_callers_retry_in_the_order_of_rejection() -> None:
-    retries = list_retry_times(Gate(), 12, 10.0)
+    retries = list_retry_times(AdmissionController(), 12, 10.0)
     assert len(retries) == 12
     assert retries == sorted(retries)
     assert retries[0] < retries[-1] <= MAX_RETRY_S
 
 
 def test_retry_time_starts_over_once_the_backlog_has_drained() -> None:
-    gate = Gate()
+    gate = AdmissionController()
     first = list_retry_times(gate, 6, 10.0)
     assert list_retry_times(gate, 1, 30.0)[0] == first[0]
 
 
 def test_delay_estimate_round_trips_through_the_owner_row() -> None:
-    outlook = Outlook(QueueDelay(0.5, 1.5), LONG_DELAY, ("large",), 0.02)
-    row = OwnerRow("n", "b", 3, outlook=encode_outlook(outlook))
+    outlook = DelayEstimate(QueueDelay(0.5, 1.5), LONG_DELAY, ("large",), 0.02)
+    row = OwnerRow("n", "b", 3, outlook=encode_delay_estimate(outlook))
     read = tables.decode_owner(tables.encode_owner(row))
-    assert decode_outlook(read.outlook) == outlook
-    assert encode_outlook(Outlook()) == {}
-    assert decode_outlook({}) == Outlook()
+    assert decode_delay_estimate(read.outlook) == outlook
+    assert encode_delay_estimate(DelayEstimate()) == {}
+    assert decode_delay_estimate({}) == DelayEstimate()
 
 
 def test_only_the_overloading_tenant_gets_a_long_delay() -> None:
@@ -120,15 +123,15 @@
 @pytest.mark.parametrize(
     ("room", "work_s", "wait_s"),
     [
-        (PoolRoom(10), 20.0, 2.0),
-        (PoolRoom(10), 60.0, 6.0),
+        (PoolCapacity(10), 20.0, 2.0),
+        (PoolCapacity(10), 60.0, 6.0),
         # all VMs of the fleet may join the pool once they have moved
-        (PoolRoom(10, 100), 20.0, 2.0),
-        (PoolRoom(10, 100), 22.0 + 100.0, SCALE_UP_S + 1.0),
-        (PoolRoom(100, 10), 600.0, 6.0),
+        (PoolCapacity(10, 100), 20.0, 2.0),
+        (PoolCapacity(10, 100), 22.0 + 100.0, SCALE_UP_S + 1.0),
+        (PoolCapacity(100, 10), 600.0, 6.0),
     ],
 )
 def test_vms_that_may_join_shorten_the_estimated_wait(
-    room: PoolRoom, work_s: float, wait_s: float
+    room: PoolCapacity, work_s: float, wait_s: float
 ) -> None:
     assert room.estimate_min_wait(work_s) == pytest.approx(wait_s)
--- a/tests/test_advice.py
+++ b/tests/test_advice.py
@@ -38,28 +38,28 @@
 
 def test_step_requests_tickets_before_its_tasks_are_placed(shard: Shard) -> None:
     assert shard.plan(NOW, 0.0) == []
-    request = shard.book.take_question()
+    request = shard.book.pop_request()
     assert request is not None
     group, workers = request
     assert group == GROUP
     assert len(workers) == MAX_WORKERS_PER_REQUEST
-    assert shard.book.take_question() is None
+    assert shard.book.pop_request() is None
 
 
 def test_tasks_are_placed_only_with_a_ticket_and_carry_it(shard: Shard) -> None:
-    shard.book.note(GROUP, Advice({"w3": "t3"}, 3.0), NOW)
+    shard.book.store_advice(GROUP, Advice({"w3": "t3"}, 3.0), NOW)
     orders = shard.plan(NOW, 0.0)
     assert [(order.worker_id, order.ticket) for order in orders] == [("w3", "t3")] * 2
 
 
 def test_expired_tickets_are_requested_again(shard: Shard) -> None:
-    shard.book.note(GROUP, Advice({"w3": "t3"}, 3.0), NOW)
+    shard.book.store_advice(GROUP, Advice({"w3": "t3"}, 3.0), NOW)
     assert shard.plan(NOW + 2.8, 0.0) == []
     assert GROUP in shard.book.wanted
 
 
 def test_refused_ticket_is_requested_again(shard: Shard) -> None:
-    shard.book.note(GROUP, Advice({"w3": "t3"}, 3.0), NOW)
+    shard.book.store_advice(GROUP, Advice({"w3": "t3"}, 3.0), NOW)
     for order in shard.plan(NOW, 0.0):
         ready = shard.prepare_start(order, NOW)
         assert ready is not None
@@ -72,7 +72,7 @@
 def test_empty_response_is_not_requested_again_at_once(
     shard: Shard, advice: Advice | None
 ) -> None:
-    shard.book.note(GROUP, advice, NOW)
+    shard.book.store_advice(GROUP, advice, NOW)
     assert shard.plan(NOW + EMPTY_RETRY_S / 2, 0.0) == []
     assert not shard.book.wanted
     assert shard.plan(NOW + EMPTY_RETRY_S * 1.1, 0.0) == []
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -9,7 +9,7 @@
 from bench.shard import add_jobs
 from bench.shard import build_shard
 from onyxgap.jobs import candidates
-from onyxgap.jobs.candidates import PlanRoom
+from onyxgap.jobs.candidates import PassCapacity
 from onyxgap.jobs.candidates import needs_as_much
 from onyxgap.jobs.messages import Step
 from onyxgap.jobs.messages import WorkerEntry
@@ -65,20 +65,20 @@
 ) -> list[list[str]]:
     """Place the tasks of all steps and return the ids of the chosen workers by step."""
     chosen: list[list[str]] = []
-    capacity = PlanRoom([item for item in records if item.is_open(NOW)], NOW)
+    capacity = PassCapacity([item for item in records if item.is_open(NOW)], NOW)
     for number, step in enumerate(steps):
         step_key = (f"job{number}", 0, 0)
         chosen.append([])
-        if use_heap and capacity.is_refused(step):
+        if use_heap and capacity.is_unplaceable(step):
             continue
-        ranked = capacity.rank(step, step_key)
+        ranked = capacity.build_candidates(step, step_key)
         for avoid in avoided[number]:
             if use_heap:
                 record = ranked.choose(avoid)
             else:
                 record = choose_worker(records, step, step_key, NOW, avoid)
             if record is None:
-                capacity.note_refused(step)
+                capacity.note_unplaceable(step)
                 break
             record.reserve(step, step_key)
             chosen[-1].append(record.entry.worker_id)
@@ -108,8 +108,10 @@
     rng = random.Random(3)
     records = [draw_worker(rng, number) for number in range(30)]
     open_ids = [item.entry.worker_id for item in records if item.is_open(NOW)]
-    capacity = PlanRoom(records, NOW)
-    chosen = capacity.rank(Step(1, cpu=1), ("j", 0, 0), open_ids[:1]).choose()
+    capacity = PassCapacity(records, NOW)
+    chosen = capacity.build_candidates(
+        Step(1, cpu=1), ("j", 0, 0), open_ids[:1]
+    ).choose()
     assert chosen is not None
     assert chosen.entry.worker_id == open_ids[0]
 
@@ -143,10 +145,10 @@
     shard = build_shard(150)
     add_jobs(shard, 150 * 16 // 6 + 400)
     shard.plan(2.0, 0.0)
-    capacity = PlanRoom(list(shard.workers.values()), 2.0)
+    capacity = PassCapacity(list(shard.workers.values()), 2.0)
     step = Step(6, cpu=4_000, memory_mb=16_000, estimate_ms=640)
-    assert capacity.rank(step, ("j", 0, 0)).choose() is None
-    capacity.note_refused(step)
-    assert capacity.is_refused(step)
-    assert not capacity.is_refused(attrs.evolve(step, cpu=3_999))
+    assert capacity.build_candidates(step, ("j", 0, 0)).choose() is None
+    capacity.note_unplaceable(step)
+    assert capacity.is_unplaceable(step)
+    assert not capacity.is_unplaceable(attrs.evolve(step, cpu=3_999))
     assert shard.plan(2.0, 0.0) == []
--- a/tests/test_configuration_exchange.py
+++ b/tests/test_configuration_exchange.py
@@ -14,11 +14,11 @@
 from onyxgap.daemons.configuration_exchange import ConfigurationExchange
 from onyxgap.exceptions import DocumentError
 from onyxgap.jobs.amounts import Amount
-from onyxgap.jobs.configurations import MAX_PART_BYTES
-from onyxgap.jobs.configurations import Assembly
-from onyxgap.jobs.configurations import decode_configuration
-from onyxgap.jobs.configurations import encode_configuration
-from onyxgap.jobs.configurations import split_content
+from onyxgap.jobs.configuration_encoding import MAX_PART_BYTES
+from onyxgap.jobs.configuration_encoding import ConfigurationAssembler
+from onyxgap.jobs.configuration_encoding import decode_configuration
+from onyxgap.jobs.configuration_encoding import encode_configuration
+from onyxgap.jobs.configuration_encoding import split_content
 from onyxgap.jobs.members import Member
 from onyxgap.jobs.messages import QueuePolicy
 from onyxgap.jobs.notices import ConfigurationPart
@@ -79,7 +79,7 @@
 def ask(
     exchange: ConfigurationExchange, peers: RecordingPeers
 ) -> ConfigurationQuestion:
-    exchange._ask()
+    exchange._send_query()
     address, question = peers.sent.pop()
     assert address == "other:1"
     assert not peers.sent
@@ -121,7 +121,7 @@
     for part in [*parts[1:], parts[0]]:
         assert isinstance(part, ConfigurationPart)
         assert not asker.is_current()
-        asker.take(part)
+        asker.handle_answer(part)
     assert asker.routes.configuration == NEWEST
     assert asker.get_age() == pytest.approx(0.4)
 
@@ -133,7 +133,7 @@
     ((_, part),) = answerer_peers.sent
     assert isinstance(part, ConfigurationPart)
     assert part.parts == 0
-    asker.take(part)
+    asker.handle_answer(part)
     assert asker.get_age() == pytest.approx(0.4)
 
 
@@ -145,7 +145,7 @@
     asker.clocks.now += 3.0
     part = answerer_peers.sent[0][1]
     assert isinstance(part, ConfigurationPart)
-    asker.take(part)
+    asker.handle_answer(part)
     assert asker.get_age() == pytest.approx(3.4)
     assert not asker.is_current()
 
@@ -160,26 +160,26 @@
 def test_older_version_is_ignored() -> None:
     asker, peers = build_node(NEWEST, age_s=5.0)
     question = ask(asker, peers)
-    asker.take(ConfigurationPart(question.asked, 4, 0, 0, 1, b"older"))
+    asker.handle_answer(ConfigurationPart(question.asked, 4, 0, 0, 1, b"older"))
     assert asker.routes.configuration == NEWEST
 
 
 def test_incomplete_newer_version_does_not_confirm_the_active_one() -> None:
     lagging, peers = build_node(OLDER, age_s=5.0)
     question = ask(lagging, peers)
-    lagging.take(ConfigurationPart(question.asked, 9, 0, 0, 2, b"part"))
+    lagging.handle_answer(ConfigurationPart(question.asked, 9, 0, 0, 2, b"part"))
     assert not lagging.is_current()
 
 
 def test_unrequested_answer_is_ignored() -> None:
     asker, _ = build_node(OLDER, age_s=5.0)
-    asker.take(ConfigurationPart(77, 9, 0))
-    asker.take(ConfigurationPart(0, 4, 0))
+    asker.handle_answer(ConfigurationPart(77, 9, 0))
+    asker.handle_answer(ConfigurationPart(0, 4, 0))
     assert not asker.is_current()
 
 
 def test_parts_of_different_versions_are_not_mixed() -> None:
-    assembly = Assembly()
+    assembly = ConfigurationAssembler()
     old = split_content(encode_configuration(attrs.evolve(NEWEST, version=8)))
     new = split_content(encode_configuration(NEWEST))
     assert assembly.add(ConfigurationPart(1, 8, 0, 0, len(old), old[0])) is None
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -4,16 +4,16 @@
 import pytest
 
 from onyxgap.jobs.crashes import CRASH_RETENTION_S
+from onyxgap.jobs.crashes import CRASH_WINDOW_MS
 from onyxgap.jobs.crashes import LATE_CRASH_BLAME
 from onyxgap.jobs.crashes import MAX_EXTRA_CRASHES
-from onyxgap.jobs.crashes import NO_SUSPICION
-from onyxgap.jobs.crashes import PROOF_MS
-from onyxgap.jobs.crashes import SETTLED_MS
+from onyxgap.jobs.crashes import NO_LOSSES
 from onyxgap.jobs.crashes import START_CRASH_BLAME
-from onyxgap.jobs.crashes import Care
+from onyxgap.jobs.crashes import START_CRASH_WINDOW_MS
 from onyxgap.jobs.crashes import CrashLog
+from onyxgap.jobs.crashes import IsolationLevel
 from onyxgap.jobs.crashes import LostRun
-from onyxgap.jobs.crashes import weigh_blame
+from onyxgap.jobs.crashes import assign_blame
 from onyxgap.jobs.encoding import encode_progress
 from onyxgap.jobs.encoding import restore_job
 from onyxgap.jobs.messages import EndKind
@@ -24,11 +24,11 @@
 from onyxgap.jobs.workers import Reply
 from onyxgap.jobs.workers import ReplyKind
 from onyxgap.jobs.workers import StartOrder
-from tests.test_shard import Bench
+from tests.test_shard import ShardHarness
 
 JUST_STARTED = 0.0
-PAST_START = PROOF_MS
-SETTLED = SETTLED_MS
+PAST_START = START_CRASH_WINDOW_MS
+SETTLED = CRASH_WINDOW_MS
 
 
 @pytest.mark.parametrize(
@@ -54,51 +54,49 @@
     ],
 )
 def test_blame(runs: list[tuple[str, bool, float]], blames: list[int]) -> None:
-    assert weigh_blame([LostRun(*run) for run in runs]) == blames
+    assert assign_blame([LostRun(*run) for run in runs]) == blames
 
 
 def test_task_is_given_up_after_two_crashes_as_the_only_suspect() -> None:
-    history = NO_SUSPICION.add_loss(True).add_loss(True, START_CRASH_BLAME)
-    assert not history.is_proved()
-    assert history.add_loss(True, START_CRASH_BLAME).is_proved()
+    history = NO_LOSSES.add_loss(True).add_loss(True, START_CRASH_BLAME)
+    assert not history.causes_crashes()
+    assert history.add_loss(True, START_CRASH_BLAME).causes_crashes()
 
 
 def test_task_is_given_up_by_its_fifth_start_if_confirmations_get_lost() -> None:
     # two crashes with other suspects, then two as the only one, one unconfirmed
-    history = (
-        NO_SUSPICION.add_loss(True).add_loss(True).add_loss(True, START_CRASH_BLAME)
-    )
-    assert not history.is_proved()
-    assert history.add_loss(True).is_proved()
+    history = NO_LOSSES.add_loss(True).add_loss(True).add_loss(True, START_CRASH_BLAME)
+    assert not history.causes_crashes()
+    assert history.add_loss(True).causes_crashes()
 
 
 def test_task_that_crashes_its_workers_late_is_given_up_by_its_seventh_start() -> None:
     # three workers crash with other suspects; after that the task is fully isolated
-    history = NO_SUSPICION.add_loss(False).add_loss(False).add_loss(False)
-    assert history.care is Care.ALONE
+    history = NO_LOSSES.add_loss(False).add_loss(False).add_loss(False)
+    assert history.isolation is IsolationLevel.FULL
     for _ in range(4):
-        assert not history.is_proved()
+        assert not history.causes_crashes()
         history = history.add_loss(False, LATE_CRASH_BLAME)
-    assert history.is_proved()
+    assert history.causes_crashes()
 
 
 def test_task_that_loses_workers_to_others_is_not_given_up() -> None:
-    history = NO_SUSPICION
+    history = NO_LOSSES
     for _ in range(20):
         history = history.add_loss(False)
     # not even if a worker then crashes by itself just after the start of the task
-    assert not history.add_loss(True, START_CRASH_BLAME).is_proved()
+    assert not history.add_loss(True, START_CRASH_BLAME).causes_crashes()
 
 
 @pytest.fixture
-def harness() -> Bench:
-    made = Bench(Shard("s", epoch=3, claimed_at=50.0))
+def harness() -> ShardHarness:
+    made = ShardHarness(Shard("s", epoch=3, claimed_at=50.0))
     for name in ("w1", "w2", "w3"):
         made.add_worker(name)
     return made
 
 
-def crash(harness: Bench, worker_id: str) -> None:
+def crash(harness: ShardHarness, worker_id: str) -> None:
     harness.now += 0.05
     harness.shard.apply_failure(worker_id, Reply(ReplyKind.NO_ANSWER), harness.now)
     live = harness.shard.workers.keys() - {worker_id}
@@ -106,12 +104,14 @@
     harness.now += 0.05
 
 
-def start_one(harness: Bench, job_id: str) -> StartOrder:
+def start_one(harness: ShardHarness, job_id: str) -> StartOrder:
     (order,) = [item for item in harness.start_all() if item.task.job_id == job_id]
     return order
 
 
-def test_tasks_of_a_crashed_worker_start_on_separate_workers(harness: Bench) -> None:
+def test_tasks_of_a_crashed_worker_start_on_separate_workers(
+    harness: ShardHarness,
+) -> None:
     job_ids = ["a" * 16, "b" * 16, "c" * 16]
     for job_id in job_ids:
         harness.add_job(Step(1, cpu=1000), job_id=job_id)
@@ -136,7 +136,7 @@
     }
 
 
-def test_job_fails_after_two_crashes_as_the_only_suspect(harness: Bench) -> None:
+def test_job_fails_after_two_crashes_as_the_only_suspect(harness: ShardHarness) -> None:
     job = harness.add_job(Step(1, cpu=1000))
     for _ in range(2):
         assert job.state in (JobState.QUEUED, JobState.RUNNING)
@@ -145,7 +145,7 @@
     assert harness.plan() == []
 
 
-def test_loss_of_an_unreachable_worker_blames_no_task(harness: Bench) -> None:
+def test_loss_of_an_unreachable_worker_blames_no_task(harness: ShardHarness) -> None:
     job = harness.add_job(Step(1, cpu=1000))
     for _ in range(3):
         order = start_one(harness, "a" * 16)
@@ -157,37 +157,37 @@
     assert job.state is JobState.RUNNING
 
 
-def test_crash_of_a_draining_worker_blames_no_task(harness: Bench) -> None:
+def test_crash_of_a_draining_worker_blames_no_task(harness: ShardHarness) -> None:
     job = harness.add_job(Step(1, cpu=1000))
     order = start_one(harness, "a" * 16)
     record = harness.shard.workers[order.worker_id]
     leaving = attrs.evolve(record.entry, state=WorkerState.DRAINING)
     harness.shard.observe_worker(leaving, harness.now)
     crash(harness, order.worker_id)
-    assert next(job.list_ready())[0].steps[0][0].suspicion is NO_SUSPICION
+    assert next(job.list_ready())[0].steps[0][0].loss_history is NO_LOSSES
 
 
-def test_loss_history_is_restored_by_the_next_owner(harness: Bench) -> None:
+def test_loss_history_is_restored_by_the_next_owner(harness: ShardHarness) -> None:
     job = harness.add_job(Step(1, cpu=1000))
     crash(harness, start_one(harness, "a" * 16).worker_id)
     restored = restore_job(job.submission, encode_progress(job))
     (task,) = restored.occurrences[0].steps[0]
-    assert task.suspicion == NO_SUSPICION.add_loss(True, START_CRASH_BLAME)
+    assert task.loss_history == NO_LOSSES.add_loss(True, START_CRASH_BLAME)
 
 
-def test_progress_without_loss_history_is_restored(harness: Bench) -> None:
+def test_progress_without_loss_history_is_restored(harness: ShardHarness) -> None:
     """Earlier versions stored progress without a loss history."""
     job = harness.add_job(Step(1, cpu=1000))
     harness.start_all()
     restored = restore_job(job.submission, encode_progress(job))
-    assert restored.occurrences[0].steps[0][0].suspicion is NO_SUSPICION
+    assert restored.occurrences[0].steps[0][0].loss_history is NO_LOSSES
 
 
-def test_suspected_task_gets_a_worker_of_a_busy_pool(harness: Bench) -> None:
+def test_suspected_task_gets_a_worker_of_a_busy_pool(harness: ShardHarness) -> None:
     harness.add_job(Step(1, cpu=1000))
     crash(harness, start_one(harness, "a" * 16).worker_id)
     # the two workers that are left start other tasks before each scheduling pass
-    harness.shard.jobs["a" * 16].seen_at += 60.0
+    harness.shard.jobs["a" * 16].accepted_at += 60.0
     running: list[StartOrder] = []
     for number in range(10):
         harness.add_job(Step(4, cpu=16_000, anti_affinity=2), job_id=f"{number:016x}")
@@ -203,31 +203,31 @@
 
 
 def test_task_that_lost_three_workers_starts_only_beside_settled_tasks(
-    harness: Bench,
+    harness: ShardHarness,
 ) -> None:
     for name in ("w2", "w3"):
-        harness.shard.end_worker(name, "its VM is down", harness.now)
+        harness.shard.remove_worker(name, "its VM is down", harness.now)
     harness.add_job(Step(1, cpu=1000, long_running=True), job_id="b" * 16)
     harness.start_all()
     job = harness.add_job(Step(1, cpu=1000))
     next(job.list_ready(), None)
-    job.open_due(0.0)
+    job.open_due_occurrences(0.0)
     (task,) = job.occurrences[0].steps[0]
-    task.suspicion = NO_SUSPICION.add_loss(False).add_loss(False).add_loss(False)
+    task.loss_history = NO_LOSSES.add_loss(False).add_loss(False).add_loss(False)
     harness.now += 1.0
     harness.report("w1")
     assert harness.plan() == []
-    harness.now += SETTLED_MS / 1000
+    harness.now += CRASH_WINDOW_MS / 1000
     harness.report("w1")
     assert start_one(harness, "a" * 16).worker_id == "w1"
 
 
-def test_serving_task_is_cleared_after_the_crash_window(harness: Bench) -> None:
+def test_serving_task_is_cleared_after_the_crash_window(harness: ShardHarness) -> None:
     job = harness.add_job(Step(1, cpu=1000, long_running=True))
     for _ in range(4):
         order = start_one(harness, "a" * 16)
         harness.report(order.worker_id)
-        harness.now += SETTLED_MS / 1000
+        harness.now += CRASH_WINDOW_MS / 1000
         harness.report(order.worker_id)
         crash(harness, order.worker_id)
         harness.add_worker(f"{order.worker_id}x")
@@ -239,16 +239,16 @@
     for moment in range(4):
         log.note(["other"], float(moment))
     log.note(["blamed"], 4.0)
-    extra_crashes = log.get_doubt("blamed")
+    extra_crashes = log.get_extra_crashes("blamed")
     assert extra_crashes == MAX_EXTRA_CRASHES
-    history = NO_SUSPICION.add_loss(True, START_CRASH_BLAME).add_loss(
+    history = NO_LOSSES.add_loss(True, START_CRASH_BLAME).add_loss(
         True, START_CRASH_BLAME
     )
-    assert history.is_proved()
+    assert history.causes_crashes()
     for _ in range(MAX_EXTRA_CRASHES):
-        assert not history.is_proved(extra_crashes)
+        assert not history.causes_crashes(extra_crashes)
         history = history.add_loss(True, START_CRASH_BLAME)
-    assert history.is_proved(extra_crashes)
+    assert history.causes_crashes(extra_crashes)
 
 
 def test_old_crashes_require_no_extra_crashes() -> None:
@@ -256,18 +256,20 @@
     for moment in range(4):
         log.note(["other"], float(moment))
     log.note(["blamed"], 4.0 + CRASH_RETENTION_S)
-    assert log.get_doubt("blamed") == 0
+    assert log.get_extra_crashes("blamed") == 0
 
 
 def test_crashes_with_a_task_require_no_extra_crashes() -> None:
     log = CrashLog()
     for moment in range(6):
         log.note(["blamed", "other"], float(moment))
-    assert log.get_doubt("blamed") == 0
+    assert log.get_extra_crashes("blamed") == 0
 
 
-def test_workers_that_end_without_runs_require_no_extra_crashes(harness: Bench) -> None:
+def test_workers_that_end_without_runs_require_no_extra_crashes(
+    harness: ShardHarness,
+) -> None:
     for number in range(8):
         harness.add_worker(f"moved-{number}")
-        harness.shard.end_worker(f"moved-{number}", "its VM is down", harness.now)
-    assert harness.shard.crashes.get_doubt("blamed") == 0
+        harness.shard.remove_worker(f"moved-{number}", "its VM is down", harness.now)
+    assert harness.shard.crashes.get_extra_crashes("blamed") == 0
--- a/tests/test_emulated_days.py
+++ b/tests/test_emulated_days.py
@@ -6,7 +6,7 @@
 import structlog.testing
 
 from onyxgap.exceptions import DocumentError
-from onyxgap.jobs.ownership import SILENCE_S
+from onyxgap.jobs.ownership import OWNER_TIMEOUT_S
 from onyxgap.standins.emulator.faults import play_day
 from onyxgap.standins.emulator.policies import FixedSizer
 from onyxgap.standins.emulator.script import Script
@@ -132,4 +132,4 @@
         if line["epoch"] == 1
     ]
     assert claims
-    assert max(claims) < SILENCE_S
+    assert max(claims) < OWNER_TIMEOUT_S
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -15,11 +15,11 @@
 from onyxgap.jobs.priorities import LearnedForecast
 from onyxgap.jobs.run_times import RunTimes
 from onyxgap.jobs.shard import Shard
-from onyxgap.jobs.share_book import ShareBook
-from onyxgap.jobs.shares import Entry
+from onyxgap.jobs.share_book import ShardShares
+from onyxgap.jobs.shares import ShareEntry
 from tests.test_shard import POLICY
 from tests.test_shard import WALL_MS
-from tests.test_shard import Bench
+from tests.test_shard import ShardHarness
 
 STEP = Step(1, cpu=8000, memory_mb=100, estimate_ms=500)
 """A worker can run eight of them at once."""
@@ -52,7 +52,7 @@
 class Workload:
     """Tenants that submit jobs at constant rates, with the jobs submitted so far."""
 
-    harness: Bench
+    harness: ShardHarness
     rates: dict[str, float]
     width: dict[str, int] = attrs.field(factory=dict)
     jobs: list[Job] = attrs.field(factory=list)
@@ -65,7 +65,7 @@
         )
         job = Job(attrs.evolve(submission, accepted_ms=int(WALL_MS)))
         self.harness.shard.add_job(job, self.harness.now, WALL_MS)
-        job.seen_at = self.harness.now
+        job.accepted_at = self.harness.now
         self.jobs.append(job)
         return job
 
@@ -95,23 +95,24 @@
         own = [
             job
             for job in self.jobs
-            if job.submission.tenant == tenant and job.seen_at < self.harness.now - 1.0
+            if job.submission.tenant == tenant
+            and job.accepted_at < self.harness.now - 1.0
         ]
         # objective 1.4 s, run 0.5 s
         on_time = [
             job
             for job in own
-            if job.placed_at is not None and job.placed_at - job.seen_at <= 0.9
+            if job.placed_at is not None and job.placed_at - job.accepted_at <= 0.9
         ]
         return len(on_time) / len(own)
 
 
 def build_workload(weights: dict[str, float], rates: dict[str, float]) -> Workload:
     shard = Shard("s", epoch=3, claimed_at=50.0)
-    shard.shares = ShareBook("s", 3)
+    shard.shares = ShardShares("s", 3)
     shard.find_weight = lambda tenant: weights[tenant]
     shard.forecast = LearnedForecast(RunTimes())
-    harness = Bench(shard)
+    harness = ShardHarness(shard)
     for number in range(WORKERS):
         harness.add_worker(f"w{number}")
     return Workload(harness, rates)
@@ -162,10 +163,10 @@
 
 def test_tenant_that_uses_much_of_other_pools_gets_less() -> None:
     workload = build_workload({"a": 1.0, "b": 1.0}, {})
-    book = workload.harness.shard.shares
-    assert book is not None
+    shard_shares = workload.harness.shard.shares
+    assert shard_shares is not None
     held = Amount(cpu=SLOTS * STEP.cpu, memory_mb=1000)
-    book.observe("a", {"other": Entry(held, held, 1)}, 1)
+    shard_shares.observe("a", {"other": ShareEntry(held, held, 1)}, 1)
     for _ in range(4 * SLOTS):
         workload.add("a")
         workload.add("b")
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -11,8 +11,8 @@
 
 from onyxgap.exceptions import DocumentError
 from onyxgap.jobs.job import TaskPhase
-from onyxgap.jobs.lives import LifeSign
-from onyxgap.jobs.lives import compare_life
+from onyxgap.jobs.lives import IncarnationMatch
+from onyxgap.jobs.lives import compare_incarnations
 from onyxgap.jobs.messages import EndKind
 from onyxgap.jobs.messages import Step
 from onyxgap.jobs.shard import Shard
@@ -27,15 +27,15 @@
 from tests.emulated import extend_day
 from tests.emulated import play
 from tests.test_shard import ENTRY
-from tests.test_shard import Bench
+from tests.test_shard import ShardHarness
 
 FIRST_START_MS, SECOND_START_MS = 1_700_000_000_000, 1_700_000_007_000
 SHORT = Step(1, cpu=1000, memory_mb=100, estimate_ms=500)
 
 
 @pytest.fixture
-def harness() -> Bench:
-    harness = Bench(Shard("s", epoch=3, claimed_at=50.0))
+def harness() -> ShardHarness:
+    harness = ShardHarness(Shard("s", epoch=3, claimed_at=50.0))
     harness.add_worker("w1", born=FIRST_START_MS)
     return harness
 
@@ -43,26 +43,26 @@
 @pytest.mark.parametrize(
     ("known", "told", "sign"),
     [
-        (0, 0, LifeSign.SAME),
-        (0, FIRST_START_MS, LifeSign.SAME),
-        (FIRST_START_MS, 0, LifeSign.SAME),
-        (FIRST_START_MS, FIRST_START_MS, LifeSign.SAME),
-        (FIRST_START_MS, SECOND_START_MS, LifeSign.LATER),
-        (SECOND_START_MS, FIRST_START_MS, LifeSign.FORMER),
+        (0, 0, IncarnationMatch.SAME),
+        (0, FIRST_START_MS, IncarnationMatch.SAME),
+        (FIRST_START_MS, 0, IncarnationMatch.SAME),
+        (FIRST_START_MS, FIRST_START_MS, IncarnationMatch.SAME),
+        (FIRST_START_MS, SECOND_START_MS, IncarnationMatch.LATER),
+        (SECOND_START_MS, FIRST_START_MS, IncarnationMatch.FORMER),
     ],
 )
 def test_incarnations_are_compared_by_start_time(
-    known: int, told: int, sign: LifeSign
+    known: int, told: int, sign: IncarnationMatch
 ) -> None:
-    assert compare_life(known, told) is sign
+    assert compare_incarnations(known, told) is sign
 
 
-def register(harness: Bench, born: int, clock_ms: float = 10.0) -> None:
+def register(harness: ShardHarness, born: int, clock_ms: float = 10.0) -> None:
     entry = attrs.evolve(ENTRY, born=born, clock_ms=clock_ms)
     harness.shard.observe_worker(entry, harness.now)
 
 
-def report(harness: Bench, born: int, clock_ms: float = 20.0) -> None:
+def report(harness: ShardHarness, born: int, clock_ms: float = 20.0) -> None:
     harness.now += 0.01
     harness.shard.apply_report(
         "w1", HoldReport(clock_ms, (), (), born), harness.now, harness.now
@@ -70,7 +70,9 @@
 
 
 @pytest.mark.parametrize("sign", [register, report])
-def test_runs_of_a_previous_incarnation_are_lost(harness: Bench, sign: object) -> None:
+def test_runs_of_a_previous_incarnation_are_lost(
+    harness: ShardHarness, sign: object
+) -> None:
     job = harness.add_job(SHORT)
     harness.start_all()
     assert callable(sign)
@@ -78,7 +80,7 @@
     record = harness.shard.workers["w1"]
     assert (record.born, record.held, record.seen) == (SECOND_START_MS, False, 0)
     assert record.acknowledged == 0
-    assert not record.unproved
+    assert not record.in_start_crash_window
     # The first hold request sets the owner's fencing token; nothing starts before.
     assert harness.plan() == []
     confirm_stops(harness)
@@ -87,7 +89,7 @@
     assert record.cpu_used == 0
 
 
-def confirm_stops(harness: Bench) -> None:
+def confirm_stops(harness: ShardHarness) -> None:
     """Confirm the stop orders, then report that the new incarnation has no runs."""
     for stop in harness.shard.list_stops(harness.now):
         harness.shard.apply_stop_reply(stop, Reply(ReplyKind.DONE), harness.now)
@@ -95,7 +97,7 @@
 
 
 def test_capacity_of_a_new_incarnation_is_unknown_until_it_registers(
-    harness: Bench,
+    harness: ShardHarness,
 ) -> None:
     report(harness, SECOND_START_MS)
     report(harness, SECOND_START_MS, 30.0)
@@ -105,7 +107,7 @@
     assert len(harness.plan()) == 1
 
 
-def test_new_incarnation_resets_clock_and_end_sequence(harness: Bench) -> None:
+def test_new_incarnation_resets_clock_and_end_sequence(harness: ShardHarness) -> None:
     job = harness.add_job(SHORT, attrs.evolve(SHORT, after=(0,)))
     (order,) = harness.start_all()
     harness.report("w1", (order, EndKind.DONE))
@@ -117,7 +119,7 @@
     assert ready is not None
     assert ready.deadline_ms < 2_000
     harness.shard.apply_start_reply(ready, Reply(ReplyKind.DONE), harness.now)
-    harness.numbers.clear()
+    harness.sequences.clear()
     record = harness.shard.workers["w1"]
     assert record.clock is not None
     harness.report("w1", (order, EndKind.DONE))
@@ -127,7 +129,7 @@
 
 @pytest.mark.parametrize("sign", [register, report])
 def test_late_message_of_a_previous_incarnation_is_ignored(
-    harness: Bench, sign: object
+    harness: ShardHarness, sign: object
 ) -> None:
     register(harness, SECOND_START_MS)
     report(harness, SECOND_START_MS)
@@ -143,7 +145,7 @@
 
 @pytest.mark.parametrize("answer", [ReplyKind.NO_ANSWER, ReplyKind.DONE])
 def test_start_that_may_have_reached_the_new_incarnation_is_ruled_out(
-    harness: Bench, answer: ReplyKind
+    harness: ShardHarness, answer: ReplyKind
 ) -> None:
     job = harness.add_job(SHORT)
     (order,) = harness.plan()
@@ -173,7 +175,9 @@
     assert again.run == order.run + 1
 
 
-def test_start_order_that_was_never_sent_is_released_at_once(harness: Bench) -> None:
+def test_start_order_that_was_never_sent_is_released_at_once(
+    harness: ShardHarness,
+) -> None:
     job = harness.add_job(SHORT)
     harness.plan()
     register(harness, SECOND_START_MS)
@@ -181,7 +185,7 @@
     assert not task.placed
 
 
-def test_worker_without_start_time_keeps_its_record(harness: Bench) -> None:
+def test_worker_without_start_time_keeps_its_record(harness: ShardHarness) -> None:
     harness.add_worker("w2")
     harness.add_worker("w2")
     harness.add_job(SHORT)
--- a/tests/test_lost_runs.py
+++ b/tests/test_lost_runs.py
@@ -5,17 +5,19 @@
 
 from onyxgap.jobs.messages import Step
 from onyxgap.jobs.shard import Shard
-from tests.test_shard import Bench
+from tests.test_shard import ShardHarness
 
 
 @pytest.fixture
-def harness() -> Bench:
-    harness = Bench(Shard("s", epoch=3, claimed_at=50.0))
+def harness() -> ShardHarness:
+    harness = ShardHarness(Shard("s", epoch=3, claimed_at=50.0))
     harness.add_worker("w1")
     return harness
 
 
-def test_lost_runs_are_logged_with_the_time_they_were_listed(harness: Bench) -> None:
+def test_lost_runs_are_logged_with_the_time_they_were_listed(
+    harness: ShardHarness,
+) -> None:
     harness.add_job(Step(1, cpu=1000), job_id="a" * 16)
     (old,) = harness.start_all()
     harness.report("w1")
@@ -26,7 +28,7 @@
     harness.add_job(Step(1, cpu=1000), job_id="c" * 16)
     (unsent,) = harness.plan()
     with structlog.testing.capture_logs() as lines:
-        harness.shard.end_worker("w1", "its VM is down", harness.now)
+        harness.shard.remove_worker("w1", "its VM is down", harness.now)
     (line,) = [line for line in lines if line["event"] == "runs lost"]
     assert (line["worker"], line["epoch"]) == ("w1", 3)
     assert line["runs"] == [
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,7 +5,7 @@
 from onyxgap.jobs.members import Member
 from onyxgap.jobs.members import decode_member
 from onyxgap.jobs.members import encode_member
-from onyxgap.jobs.members import is_weak
+from onyxgap.jobs.members import is_small_vm
 from onyxgap.jobs.ownership import Claimant
 from onyxgap.jobs.ownership import OwnerView
 from onyxgap.jobs.ownership import get_claim_time
@@ -41,7 +41,7 @@
     memory_mb: int, others: tuple[int, ...], weak: bool
 ) -> None:
     members = [Member("", size) for size in others]
-    assert is_weak(memory_mb, members) is weak
+    assert is_small_vm(memory_mb, members) is weak
 
 
 @pytest.mark.parametrize("seed", range(50))
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -18,7 +18,7 @@
 from onyxgap.adapters.notice_link import decode_notices
 from onyxgap.adapters.notice_link import encode_notice
 from onyxgap.daemons.authentication import Authentication
-from onyxgap.daemons.desk import NodeDesk
+from onyxgap.daemons.desk import LocalJobApi
 from onyxgap.daemons.fence import FencedWriter
 from onyxgap.daemons.node import Node
 from onyxgap.daemons.node_process import check_settings_file
@@ -31,18 +31,18 @@
 from onyxgap.jobs.desk import SubmitOutcome
 from onyxgap.jobs.desk import Unavailable
 from onyxgap.jobs.health import OUTAGE_S
+from onyxgap.jobs.health import MonitoredStore
 from onyxgap.jobs.health import StoreHealth
-from onyxgap.jobs.health import WatchedStore
 from onyxgap.jobs.messages import JobState
 from onyxgap.jobs.messages import QueuePolicy
 from onyxgap.jobs.messages import Step
 from onyxgap.jobs.messages import Submission
 from onyxgap.jobs.notices import HandOver
 from onyxgap.jobs.notices import JobNotice
+from onyxgap.jobs.ownership import CLAIM_JITTER_S
 from onyxgap.jobs.ownership import HAND_OVER_VALID_S
 from onyxgap.jobs.ownership import OWNED_DELAY_S
-from onyxgap.jobs.ownership import SILENCE_S
-from onyxgap.jobs.ownership import SPREAD_S
+from onyxgap.jobs.ownership import OWNER_TIMEOUT_S
 from onyxgap.jobs.ownership import Claimant
 from onyxgap.jobs.ownership import OwnerView
 from onyxgap.jobs.ownership import list_claimable
@@ -58,8 +58,8 @@
 from onyxgap.jobs.store import Page
 from onyxgap.jobs.store import WriteOutcome
 from onyxgap.jobs.tables import OwnerRow
-from onyxgap.jobs.timeouts import LEAST_S
-from onyxgap.jobs.timeouts import MOST_S
+from onyxgap.jobs.timeouts import MAX_TIMEOUT_S
+from onyxgap.jobs.timeouts import MIN_TIMEOUT_S
 from onyxgap.jobs.timeouts import WriteTimeout
 from onyxgap.logs import BURST_LINES
 from onyxgap.logs import ROUTINE_SHARE
@@ -92,15 +92,15 @@
 
 def test_shard_is_claimed_after_the_owner_timeout_and_not_before() -> None:
     view = OwnerView(OWNER_ROW, 7, changed_at=10.0)
-    assert not is_claimable(view, 10.0 + SILENCE_S - 0.01)
-    assert is_claimable(view, 10.0 + SILENCE_S + SPREAD_S)
+    assert not is_claimable(view, 10.0 + OWNER_TIMEOUT_S - 0.01)
+    assert is_claimable(view, 10.0 + OWNER_TIMEOUT_S + CLAIM_JITTER_S)
 
 
 def test_owner_timeout_is_longer_while_the_store_is_slow() -> None:
     view = OwnerView(OWNER_ROW, 7, changed_at=10.0)
     slow = attrs.evolve(CLAIMANT, latency_s=0.24)
-    assert not is_claimable(view, 10.0 + SILENCE_S + SPREAD_S, slow)
-    assert is_claimable(view, 10.0 + SILENCE_S + SPREAD_S + 8 * 0.24, slow)
+    assert not is_claimable(view, 10.0 + OWNER_TIMEOUT_S + CLAIM_JITTER_S, slow)
+    assert is_claimable(view, 10.0 + OWNER_TIMEOUT_S + CLAIM_JITTER_S + 8 * 0.24, slow)
     health = StoreHealth()
     for _ in range(2):
         health.note_latency(0.24)
@@ -110,12 +110,14 @@
 def test_owner_timeout_starts_when_the_store_is_reachable_again() -> None:
     view = OwnerView(OWNER_ROW, 7, changed_at=10.0)
     assert not is_claimable(view, 20.0, reachable_since=19.0)
-    assert is_claimable(view, 19.0 + SILENCE_S + SPREAD_S, reachable_since=19.0)
+    assert is_claimable(
+        view, 19.0 + OWNER_TIMEOUT_S + CLAIM_JITTER_S, reachable_since=19.0
+    )
 
 
 def test_released_shard_is_claimed_earlier_by_a_node_that_owns_fewer_shards() -> None:
     view = OwnerView(attrs.evolve(OWNER_ROW, released=True), 7, changed_at=10.0)
-    assert is_claimable(view, 10.0 + SPREAD_S)
+    assert is_claimable(view, 10.0 + CLAIM_JITTER_S)
     loaded = attrs.evolve(CLAIMANT, owned=2)
     assert not is_claimable(view, 10.0 + 2 * OWNED_DELAY_S - 0.01, loaded)
 
@@ -163,13 +165,13 @@
 
 
 def test_shard_is_claimed_early_when_its_owner_cannot_reach_the_store() -> None:
-    view = OwnerView(OWNER_ROW, 7, changed_at=10.0).note_hand_over(10.5)
+    view = OwnerView(OWNER_ROW, 7, changed_at=10.0).record_hand_over(10.5)
     assert not is_claimable(view, 10.5)
-    assert is_claimable(view.note_hand_over(10.9), 10.5 + SPREAD_S)
+    assert is_claimable(view.record_hand_over(10.9), 10.5 + CLAIM_JITTER_S)
     # the notice was not repeated, or the store was unreachable for this node, too
     assert not is_claimable(view, 10.5 + HAND_OVER_VALID_S + 0.1)
     assert not is_claimable(
-        view.note_hand_over(10.9), 10.5 + SPREAD_S, reachable_since=10.6
+        view.record_hand_over(10.9), 10.5 + CLAIM_JITTER_S, reachable_since=10.6
     )
 
 
@@ -256,14 +258,14 @@
     run_with_store(test)
 
 
-def build_job_api(scripted: ScriptedStore) -> NodeDesk:
+def build_job_api(scripted: ScriptedStore) -> LocalJobApi:
     clocks = EmulatedClocks()
     health = StoreHealth()
     routes = RouteTable()
     routes.adopt(Configuration(1, (ROUTE,), {"s": Service("s")}))
-    store = WatchedStore(scripted, health, clocks)
+    store = MonitoredStore(scripted, health, clocks)
     authentication = Authentication(routes, build_exchange(routes))
-    return NodeDesk(store, health, clocks, routes, {}, {}, authentication)
+    return LocalJobApi(store, health, clocks, routes, {}, {}, authentication)
 
 
 @pytest.mark.parametrize(
@@ -403,7 +405,7 @@
         store.put(row_id, tables.encode_owner(OWNER_ROW))
         decision_view = OwnerView(OWNER_ROW, store.version, 0.0)
         health = StoreHealth()
-        watched = WatchedStore(scripted, health, EmulatedClocks())
+        watched = MonitoredStore(scripted, health, EmulatedClocks())
         node = Node(
             NodeSettings("node-2", "z", Address(), Address(), "-"),
             watched,
@@ -428,17 +430,17 @@
 
 def test_write_timeout_adapts_to_the_store() -> None:
     timeout = WriteTimeout()
-    assert timeout.get() == LEAST_S
-    timeout.note_silence()
-    assert timeout.get() == 2 * LEAST_S
+    assert timeout.get() == MIN_TIMEOUT_S
+    timeout.record_timeout()
+    assert timeout.get() == 2 * MIN_TIMEOUT_S
     for _ in range(9):
-        timeout.note_silence()
-    assert timeout.get() == MOST_S
+        timeout.record_timeout()
+    assert timeout.get() == MAX_TIMEOUT_S
     timeout.note_answer(0.01)
-    assert timeout.get() == LEAST_S
+    assert timeout.get() == MIN_TIMEOUT_S
     for _ in range(30):
         timeout.note_answer(0.3)
-    assert timeout.get() == MOST_S
+    assert timeout.get() == MAX_TIMEOUT_S
 
 
 def test_routine_log_lines_leave_capacity_for_other_lines() -> None:
--- a/tests/test_order_lanes.py
+++ b/tests/test_order_lanes.py
@@ -13,7 +13,7 @@
 from onyxgap.daemons.lanes import MAX_IN_FLIGHT_PER_WORKER
 from onyxgap.daemons.owner_workers import OwnerContext
 from onyxgap.daemons.owner_workers import OwnerWorkers
-from onyxgap.jobs.holds import MOST_PAUSE_S
+from onyxgap.jobs.holds import MAX_PAUSE_S
 from onyxgap.jobs.holds import choose_hold_pause
 from onyxgap.jobs.messages import TaskId
 from onyxgap.jobs.tables import OwnerRow
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize(
-    ("lag_s", "pause_s"), [(0.0, 0.0), (0.01, 0.0), (0.05, 0.1), (4.0, MOST_PAUSE_S)]
+    ("lag_s", "pause_s"), [(0.0, 0.0), (0.01, 0.0), (0.05, 0.1), (4.0, MAX_PAUSE_S)]
 )
 def test_lagging_owner_sends_fewer_hold_requests(lag_s: float, pause_s: float) -> None:
     assert choose_hold_pause(lag_s) == pytest.approx(pause_s)
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -20,11 +20,11 @@
 from onyxgap.jobs.passing import PEER_RETRY_S
 from onyxgap.jobs.passing import UNABLE
 from onyxgap.jobs.passing import CallKind
-from onyxgap.jobs.passing import Helpers
+from onyxgap.jobs.passing import ForwardFailure
 from onyxgap.jobs.passing import PassedAnswer
 from onyxgap.jobs.passing import PassedCall
-from onyxgap.jobs.passing import PassFailure
-from onyxgap.jobs.passing import join_outcomes
+from onyxgap.jobs.passing import PeerSelector
+from onyxgap.jobs.passing import merge_outcomes
 from onyxgap.settings import Address
 from onyxgap.wire.frames import LENGTH_BYTES
 from onyxgap.wire.frames import decode_frame
@@ -36,10 +36,10 @@
 CALL = PassedCall(CallKind.SUBMIT, "a" * 16, "north", "q", "s", b"body")
 
 
-def build_peer_selector(count: int) -> Helpers:
+def build_peer_selector(count: int) -> PeerSelector:
     members = {f"n{number}": Member("", 0, f"n{number}:1") for number in range(count)}
     members["old"] = Member("old:1")
-    return Helpers("n0", members, random.Random(1).sample)
+    return PeerSelector("n0", members, random.Random(1).sample)
 
 
 def test_calls_are_distributed_over_all_other_nodes() -> None:
@@ -51,7 +51,7 @@
 
 def test_node_that_failed_to_answer_is_skipped_for_a_while() -> None:
     selector = build_peer_selector(3)
-    selector.note_unable("n1:1", 10.0)
+    selector.record_failure("n1:1", 10.0)
     assert selector.choose(10.0) == ["n2:1"]
     assert sorted(selector.choose(10.0 + PEER_RETRY_S)) == ["n1:1", "n2:1"]
 
@@ -60,16 +60,16 @@
     selector = build_peer_selector(40)
     for number in range(1, FAILURES_UNTIL_UNREACHABLE + 1):
         assert selector.choose(10.0)
-        selector.note_unable(f"n{number}:1", 10.0)
+        selector.record_failure(f"n{number}:1", 10.0)
     assert selector.choose(10.0) == []
-    assert selector.is_hopeless(10.0)
+    assert selector.is_store_unreachable(10.0)
     # after the pause, a single further failure suffices
     assert selector.choose(10.0 + PEER_RETRY_S)
-    selector.note_unable("n9:1", 10.0 + PEER_RETRY_S)
+    selector.record_failure("n9:1", 10.0 + PEER_RETRY_S)
     assert selector.choose(10.0 + PEER_RETRY_S) == []
     assert selector.choose(10.0 + 2 * PEER_RETRY_S)
-    selector.note_able("n10:1")
-    selector.note_unable("n9:1", 20.0)
+    selector.record_success("n10:1")
+    selector.record_failure("n9:1", 20.0)
     assert selector.choose(20.0)
 
 
@@ -88,7 +88,7 @@
 def test_refusal_holds_only_if_no_attempt_can_have_stored_the_job(
     earlier: SubmitOutcome, later: SubmitOutcome, joined: SubmitOutcome
 ) -> None:
-    assert join_outcomes(earlier, later) is joined
+    assert merge_outcomes(earlier, later) is joined
 
 
 def test_encoded_call_and_answer_decode_to_the_same_objects() -> None:
@@ -111,7 +111,7 @@
 
 async def ask_over_loopback(
     port: int, answer: t.Callable[[PassedCall], t.Awaitable[PassedAnswer]]
-) -> PassedAnswer | PassFailure:
+) -> PassedAnswer | ForwardFailure:
     server = StreamCallLink(Address("127.0.0.1", port))
     client = StreamCallLink(Address("127.0.0.1", 0))
     async with anyio.create_task_group() as group:
@@ -145,15 +145,15 @@
 
 def test_missing_answer_leaves_the_outcome_unknown() -> None:
     found = anyio.run(ask_over_loopback, find_port(), FakeAnswerer(None))
-    assert found is PassFailure.NO_ANSWER
+    assert found is ForwardFailure.NO_ANSWER
 
 
 def test_call_to_a_node_that_does_not_listen_is_not_sent() -> None:
-    async def ask() -> PassedAnswer | PassFailure:
+    async def ask() -> PassedAnswer | ForwardFailure:
         link = StreamCallLink(Address("127.0.0.1", 0))
         return await link.ask(f"127.0.0.1:{find_port()}", CALL, 1.0)
 
-    assert anyio.run(ask) is PassFailure.NOT_SENT
+    assert anyio.run(ask) is ForwardFailure.NOT_SENT
 
 
 DAYS = {
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -137,7 +137,7 @@
         (answer(409, {"clock_ms": 5, "reason": "late"}), ReplyKind.TOO_LATE),
         (answer(409, {"clock_ms": 5, "reason": "room"}), ReplyKind.NO_ROOM),
         (answer(409, {"reason": "new one"}), ReplyKind.NO_ANSWER),
-        (answer(421), ReplyKind.OTHER_LIFE),
+        (answer(421), ReplyKind.OTHER_WORKER),
         (answer(429), ReplyKind.UNHEALTHY),
         (answer(400), ReplyKind.INVALID),
         (answer(502), ReplyKind.NO_ANSWER),
@@ -159,7 +159,7 @@
     report = decode_report(answer(200, body))
     assert isinstance(report, HoldReport)
     assert str(report.running[0].task) == task
-    assert (report.running[0].percent, report.running[0].figure) == (41, 12.5)
+    assert (report.running[0].percent, report.running[0].measurement) == (41, 12.5)
     assert report.ended[0].kind is EndKind.DONE
 
 
@@ -216,7 +216,7 @@
     )
     configuration = registry.decode_configuration(value)
     assert configuration.list_shards() == ("s",)
-    assert configuration.find_spare() == "z"
+    assert configuration.find_spare_service() == "z"
     assert configuration.max_body_bytes == 1000
     wave_value = orjson.dumps({"machines": ["m-1"], "duration_s": 20, "cap": 1})
     wave = registry.decode_wave("wave/3", wave_value)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -145,7 +145,7 @@
 def planner() -> FleetPlanner:
     planner = FleetPlanner(2.0, epoch=1, spare_pool="spare", shards=frozenset("ab"))
     spare = [Vm(f"z{n}", "spare", VmState.UP) for n in range(2)]
-    planner.apply_list([*build_vms("a", 4), *build_vms("b", 4), *spare], 0.0)
+    planner.apply_vm_list([*build_vms("a", 4), *build_vms("b", 4), *spare], 0.0)
     for pool in "ab":
         planner.reports[pool] = build_report(planner, pool)
     planner.sizes = {"a": 4, "b": 4}
@@ -194,9 +194,9 @@
     assert planner.plan(1.1) == []
     planner.apply_reply(first, VmReply.DONE, 1.2)
     assert planner.plan(1.3) == []
-    planner.apply_list(planner.vms.values(), 3.6)
+    planner.apply_vm_list(planner.vms.values(), 3.6)
     assert [order.vm for order in planner.plan(3.7)] == ["z1"]
-    assert planner.find_complete() == []
+    assert planner.list_complete_waves() == []
 
 
 def test_wave_is_complete_when_each_vm_has_started_or_is_gone(
@@ -205,9 +205,9 @@
     planner.add_wave(Wave(1, ("z0", "a3"), 20.0, 2), 1.0)
     (order,) = planner.plan(1.0)
     planner.apply_reply(order, VmReply.DONE, 1.2)
-    assert planner.find_complete() == []
-    planner.apply_list([vm for vm in planner.vms.values() if vm.name != "a3"], 2.0)
-    assert planner.find_complete() == [1]
+    assert planner.list_complete_waves() == []
+    planner.apply_vm_list([vm for vm in planner.vms.values() if vm.name != "a3"], 2.0)
+    assert planner.list_complete_waves() == [1]
 
 
 def test_pool_in_a_burst_is_not_drained_until_the_wave_would_be_late(
@@ -274,7 +274,7 @@
     planner = FleetPlanner(2.0, spare_pool="spare", shards=frozenset("a"))
     vms = build_vms("a", 4)
     vms[3] = attrs.evolve(vms[3], state=VmState.DOWN, worker_id="")
-    planner.apply_list([*vms, Vm("z0", "spare", VmState.UP)], 0.0)
+    planner.apply_vm_list([*vms, Vm("z0", "spare", VmState.UP)], 0.0)
     planner.reports["a"] = build_report(planner, "a")
     planner.sizes = {"a": 4}
     assert planner.plan(1.0) == []
@@ -289,8 +289,8 @@
     successor.add_wave(Wave(1, ("z0", "z1"), 20.0, 2), 5.0)
     row = decode_fleet_row(encode_fleet_row(planner.get_row()))
     successor.restore(row, 5.0, 3.7)
-    successor.apply_list(planner.vms.values(), 5.0)
-    assert successor.find_complete() == [1]
+    successor.apply_vm_list(planner.vms.values(), 5.0)
+    assert successor.list_complete_waves() == [1]
 
 
 def test_successor_pauses_orders_only_for_recently_ordered_vms(
@@ -303,7 +303,7 @@
     successor = FleetPlanner(2.0, epoch=2)
     successor.add_wave(Wave(1, ("z0", "z1"), 20.0, 2), 5.0)
     successor.restore(row, 5.0, 3.7)
-    successor.apply_list(planner.vms.values(), 5.0)
+    successor.apply_vm_list(planner.vms.values(), 5.0)
     assert [order.vm for order in successor.plan(5.0)] == ["z1"]
     assert [order.vm for order in successor.plan(8.6)] == []
     assert [order.vm for order in successor.plan(8.8)] == ["z0"]
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -11,7 +11,7 @@
 from onyxgap.jobs.shard import Shard
 from tests.test_shard import POLICY
 from tests.test_shard import WALL_MS
-from tests.test_shard import Bench
+from tests.test_shard import ShardHarness
 
 WEIGHTS = {"large": 4.0, "small": 1.0}
 STEP = Step(1, cpu=8000, memory_mb=100, estimate_ms=500)
@@ -46,7 +46,7 @@
     assert all(build_rates().is_within("", 10.0) for _ in range(100))
 
 
-def add_jobs(harness: Bench, tenant: str, count: int, first: int) -> list[Job]:
+def add_jobs(harness: ShardHarness, tenant: str, count: int, first: int) -> list[Job]:
     jobs = []
     for number in range(first, first + count):
         submission = Submission(
@@ -64,16 +64,16 @@
 
 
 @pytest.fixture
-def harness() -> Bench:
+def harness() -> ShardHarness:
     shard = Shard("s", epoch=3, claimed_at=50.0)
     shard.rates = build_rates()
-    harness = Bench(shard)
+    harness = ShardHarness(shard)
     # capacity for eight tasks
     harness.add_worker("w1")
     return harness
 
 
-def test_overload_by_one_tenant_does_not_delay_another(harness: Bench) -> None:
+def test_overload_by_one_tenant_does_not_delay_another(harness: ShardHarness) -> None:
     assert harness.shard.rates is not None
     for _ in range(int(4 * BURST_S)):
         harness.shard.rates.is_within("large", WALL_MS / 1000)
@@ -85,12 +85,12 @@
     assert all(job.beyond for job in over_rate)
 
 
-def test_jobs_over_the_rate_use_idle_capacity_at_once(harness: Bench) -> None:
+def test_jobs_over_the_rate_use_idle_capacity_at_once(harness: ShardHarness) -> None:
     add_jobs(harness, "small", 8, 0)
     assert len(harness.plan()) == 8
 
 
-def test_without_rates_the_order_is_by_urgency_alone(harness: Bench) -> None:
+def test_without_rates_the_order_is_by_urgency_alone(harness: ShardHarness) -> None:
     harness.shard.rates = None
     jobs = add_jobs(harness, "large", 8, 0)
     late = add_jobs(harness, "small", 1, 100)
--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -6,7 +6,7 @@
 import attrs
 import pytest
 
-from onyxgap.daemons.reading import read_at_once
+from onyxgap.daemons.reading import read_partitions
 from onyxgap.exceptions import PlatformUnavailableError
 from onyxgap.jobs.store import Page
 from onyxgap.standins.virtual import run_virtually
@@ -30,7 +30,7 @@
 
 async def time_reads(store: t.Any) -> tuple[tuple[Page, ...], float]:
     started = anyio.current_time()
-    pages = await read_at_once(store, PARTITIONS)
+    pages = await read_partitions(store, PARTITIONS)
     return pages, anyio.current_time() - started
 
 
--- a/tests/test_relief.py
+++ b/tests/test_relief.py
@@ -4,7 +4,7 @@
 import pytest
 
 from onyxgap.jobs.members import Member
-from onyxgap.jobs.members import list_stronger
+from onyxgap.jobs.members import list_large_vm_nodes
 from onyxgap.jobs.ownership import FORMER_SHARD_DELAY_S
 from onyxgap.jobs.ownership import Claimant
 from onyxgap.jobs.ownership import OwnerView
@@ -14,7 +14,7 @@
 from onyxgap.jobs.relief import MIN_OWNED_S
 from onyxgap.jobs.relief import OFFER_DURATION_S
 from onyxgap.jobs.relief import OFFER_PAUSE_S
-from onyxgap.jobs.relief import Relief
+from onyxgap.jobs.relief import ShardOfferPolicy
 from onyxgap.jobs.tables import OwnerRow
 from onyxgap.standins.emulator.faults import FaultyDay
 from onyxgap.standins.emulator.script import Script
@@ -31,24 +31,24 @@
 
 
 def test_shards_are_offered_to_nodes_on_large_vms() -> None:
-    assert list_stronger("small", MEMBERS) == ["large", "other"]
-    assert list_stronger("large", MEMBERS) == ["other"]
+    assert list_large_vm_nodes("small", MEMBERS) == ["large", "other"]
+    assert list_large_vm_nodes("large", MEMBERS) == ["other"]
 
 
 def test_node_on_a_large_vm_keeps_its_shards() -> None:
-    assert not Relief().offers("s", 1, 99.0, 200.0)
+    assert not ShardOfferPolicy().should_offer("s", 1, 99.0, 200.0)
 
 
 def test_node_on_a_small_vm_offers_a_shard_after_the_minimum_time() -> None:
-    policy = Relief(weak=True)
-    assert not policy.offers("s", 1, MIN_OWNED_S - 0.1, 100.0)
-    assert policy.offers("s", 1, MIN_OWNED_S, 100.0)
+    policy = ShardOfferPolicy(weak=True)
+    assert not policy.should_offer("s", 1, MIN_OWNED_S - 0.1, 100.0)
+    assert policy.should_offer("s", 1, MIN_OWNED_S, 100.0)
 
 
 def test_offer_without_a_claim_is_repeated_only_after_a_pause() -> None:
-    policy = Relief(weak=True)
+    policy = ShardOfferPolicy(weak=True)
     times = [100.0 + 0.3 * number for number in range(120)]
-    offered = [at for at in times if policy.offers("s", 1, 60.0, at)]
+    offered = [at for at in times if policy.should_offer("s", 1, 60.0, at)]
     pauses = [later - at for at, later in zip(offered, offered[1:], strict=False)]
     assert max(pauses) >= OFFER_PAUSE_S
     assert (
@@ -58,12 +58,12 @@
 
 
 def test_only_lasting_lag_makes_a_node_offer_its_shards() -> None:
-    policy = Relief()
+    policy = ShardOfferPolicy()
     policy.observe_lag(3.0, 100.0)
     policy.observe_lag(0.1, 100.3)
     policy.observe_lag(LAG_THRESHOLD_S, 100.6)
-    assert not policy.offers("s", 1, 60.0, 100.6 + LAG_DURATION_S / 2)
-    assert policy.offers("s", 1, 60.0, 100.6 + LAG_DURATION_S)
+    assert not policy.should_offer("s", 1, 60.0, 100.6 + LAG_DURATION_S / 2)
+    assert policy.should_offer("s", 1, 60.0, 100.6 + LAG_DURATION_S)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_run_times.py
+++ b/tests/test_run_times.py
@@ -9,7 +9,7 @@
 from onyxgap.jobs.job import Job
 from onyxgap.jobs.messages import Step
 from onyxgap.jobs.messages import Submission
-from onyxgap.jobs.priorities import DECLARED
+from onyxgap.jobs.priorities import DECLARED_FORECAST
 from onyxgap.jobs.priorities import LearnedForecast
 from onyxgap.jobs.priorities import Timeliness
 from onyxgap.jobs.priorities import rate_urgency
@@ -30,7 +30,7 @@
         ratio = factor * math.exp(rng.gauss(0, 0.05))
         if rng.random() < tail:
             ratio *= 7
-        times.note_end("q", 1000, ratio * 1000)
+        times.record_run_time("q", 1000, ratio * 1000)
 
 
 @pytest.mark.parametrize("factor", [0.5, 1.0, 2.0])
@@ -74,7 +74,7 @@
 def job() -> Job:
     job = Job(Submission("a" * 16, POLICY, "spec", (attrs.evolve(STEP, count=1),)))
     # objective: 1.6 times the 1 s of its run, plus 0.6 s; useful for three times that
-    job.seen_at = 100.0
+    job.accepted_at = 100.0
     return job
 
 
@@ -113,7 +113,7 @@
 
 
 def test_late_jobs_never_expire_by_the_declared_forecast(job: Job) -> None:
-    assert rate_urgency(job, 0, 199.0, DECLARED).standing is Timeliness.OF_USE
+    assert rate_urgency(job, 0, 199.0, DECLARED_FORECAST).standing is Timeliness.OF_USE
 
 
 def test_long_running_steps_go_first_regardless_of_run_times(job: Job) -> None:
--- a/tests/test_shard.py
+++ b/tests/test_shard.py
@@ -39,12 +39,12 @@
 
 
 @attrs.define
-class Bench:
+class ShardHarness:
     """A shard with a manual clock, and workers that report what it started there."""
 
     shard: Shard
     now: float = 100.0
-    numbers: dict[str, int] = attrs.field(factory=dict)
+    sequences: dict[str, int] = attrs.field(factory=dict)
 
     def add_worker(self, worker_id: str, **changes: t.Any) -> None:
         entry = attrs.evolve(ENTRY, worker_id=worker_id, **changes)
@@ -70,8 +70,8 @@
     def report(self, worker_id: str, *ends: tuple[StartOrder, EndKind]) -> None:
         ended = []
         for order, kind in ends:
-            sequence = self.numbers.get(worker_id, 0) + 1
-            self.numbers[worker_id] = sequence
+            sequence = self.sequences.get(worker_id, 0) + 1
+            self.sequences[worker_id] = sequence
             ended.append(EndedTask(sequence, order.task, order.run, kind, ""))
         ended_tasks = {order.task for order, _ in ends}
         running = tuple(
@@ -89,11 +89,11 @@
 
 
 @pytest.fixture
-def harness() -> Bench:
-    return Bench(Shard("s", epoch=3, claimed_at=50.0))
+def harness() -> ShardHarness:
+    return ShardHarness(Shard("s", epoch=3, claimed_at=50.0))
 
 
-def test_nothing_is_placed_before_the_first_report(harness: Bench) -> None:
+def test_nothing_is_placed_before_the_first_report(harness: ShardHarness) -> None:
     harness.shard.observe_worker(ENTRY, harness.now)
     harness.add_job(Step(1, cpu=1000))
     assert harness.plan() == []
@@ -101,7 +101,9 @@
     assert len(harness.plan()) == 1
 
 
-def test_later_step_waits_for_every_task_of_an_earlier_one(harness: Bench) -> None:
+def test_later_step_waits_for_every_task_of_an_earlier_one(
+    harness: ShardHarness,
+) -> None:
     harness.add_worker("w1")
     harness.add_job(Step(2, cpu=1000), Step(1, cpu=1000, after=(0,)))
     first, second = harness.start_all()
@@ -111,7 +113,7 @@
     assert [order.task.step for order in harness.plan()] == [1]
 
 
-def test_capacity_is_free_only_once_the_end_is_reported(harness: Bench) -> None:
+def test_capacity_is_free_only_once_the_end_is_reported(harness: ShardHarness) -> None:
     harness.add_worker("w1", cpu=2000)
     harness.add_job(Step(2, cpu=2000))
     (first,) = harness.start_all()
@@ -121,7 +123,7 @@
 
 
 def test_failed_task_is_retried_elsewhere_until_max_attempts(
-    harness: Bench,
+    harness: ShardHarness,
 ) -> None:
     harness.add_worker("w1")
     harness.add_worker("w2")
@@ -137,7 +139,7 @@
     assert harness.plan() == []
 
 
-def test_unanswered_start_is_retried_after_its_deadline(harness: Bench) -> None:
+def test_unanswered_start_is_retried_after_its_deadline(harness: ShardHarness) -> None:
     harness.add_worker("w1")
     harness.add_job(Step(1, cpu=1000))
     (order,) = harness.plan()
@@ -153,9 +155,11 @@
     assert again.run == order.run + 1
 
 
-def test_run_of_a_previous_owner_is_adopted_if_it_is_reported(harness: Bench) -> None:
+def test_run_of_a_previous_owner_is_adopted_if_it_is_reported(
+    harness: ShardHarness,
+) -> None:
     job = Job(Submission("b" * 16, POLICY, "spec", (Step(2, cpu=1000),)))
-    job.open_due(WALL_MS)
+    job.open_due_occurrences(WALL_MS)
     job.state = JobState.RUNNING
     for task in job.occurrences[0].steps[0]:
         task.place("w1", 0.0, 0.0, 4)
@@ -172,7 +176,9 @@
     assert (order.task, order.run) == (absent.task_id, 5)
 
 
-def test_silent_worker_keeps_its_runs_until_the_lease_expires(harness: Bench) -> None:
+def test_silent_worker_keeps_its_runs_until_the_lease_expires(
+    harness: ShardHarness,
+) -> None:
     harness.add_worker("w1")
     harness.add_worker("w2")
     harness.add_job(Step(1, cpu=1000))
@@ -192,7 +198,7 @@
     assert again.worker_id != order.worker_id
 
 
-def test_worker_of_a_dead_vm_is_ended_at_once(harness: Bench) -> None:
+def test_worker_of_a_dead_vm_is_ended_at_once(harness: ShardHarness) -> None:
     harness.add_worker("w1")
     harness.add_worker("w2")
     harness.add_job(Step(1, cpu=1000))
@@ -207,14 +213,14 @@
     assert again.worker_id != order.worker_id
 
 
-def test_vm_list_requested_before_the_silence_is_ignored(harness: Bench) -> None:
+def test_vm_list_requested_before_the_silence_is_ignored(harness: ShardHarness) -> None:
     harness.add_worker("w1")
     harness.shard.apply_failure("w1", Reply(ReplyKind.NO_ANSWER), harness.now)
     harness.shard.apply_live_workers(set(), harness.now - 0.1)
     assert "w1" in harness.shard.workers
 
 
-def test_cancel_stops_running_tasks_and_starts_none(harness: Bench) -> None:
+def test_cancel_stops_running_tasks_and_starts_none(harness: ShardHarness) -> None:
     harness.add_worker("w1")
     job = harness.add_job(Step(2, cpu=40_000))
     (order,) = harness.start_all()
@@ -226,7 +232,7 @@
     assert len(harness.shard.list_stops(harness.now + 1)) == 1
 
 
-def test_cancel_before_the_job_arrives_takes_effect(harness: Bench) -> None:
+def test_cancel_before_the_job_arrives_takes_effect(harness: ShardHarness) -> None:
     harness.add_worker("w1")
     harness.shard.cancel("a" * 16)
     job = harness.add_job(Step(1, cpu=1000))
@@ -234,7 +240,7 @@
     assert harness.plan() == []
 
 
-def test_start_order_of_a_cancelled_job_is_not_sent(harness: Bench) -> None:
+def test_start_order_of_a_cancelled_job_is_not_sent(harness: ShardHarness) -> None:
     harness.add_worker("w1")
     job = harness.add_job(Step(1, cpu=1000))
     (order,) = harness.plan()
@@ -243,7 +249,7 @@
     assert not harness.shard.workers["w1"].present
 
 
-def test_unexpected_run_is_stopped(harness: Bench) -> None:
+def test_unexpected_run_is_stopped(harness: ShardHarness) -> None:
     harness.add_worker("w1")
     job = harness.add_job(Step(1, cpu=1000))
     task = job.occurrences or None
@@ -257,7 +263,9 @@
     assert stop.run == order.run + 7
 
 
-def test_serving_tasks_leave_a_cordoned_worker_one_at_a_time(harness: Bench) -> None:
+def test_serving_tasks_leave_a_cordoned_worker_one_at_a_time(
+    harness: ShardHarness,
+) -> None:
     harness.add_worker("w1")
     harness.add_job(Step(3, cpu=1000, long_running=True, may_miss=1))
     orders = harness.start_all()
@@ -278,7 +286,9 @@
     assert len(harness.shard.list_stops(harness.now)) == 1
 
 
-def test_cordoned_worker_is_reported_empty_under_its_cordon(harness: Bench) -> None:
+def test_cordoned_worker_is_reported_empty_under_its_cordon(
+    harness: ShardHarness,
+) -> None:
     harness.add_worker("w1")
     harness.shard.set_cordons({"w1": "move#4"})
     assert harness.shard.build_report(harness.now).emptied == {"w1": "move#4"}
@@ -290,7 +300,7 @@
 
 
 def test_small_tasks_do_not_starve_a_large_serving_task(
-    harness: Bench,
+    harness: ShardHarness,
 ) -> None:
     harness.add_worker("w1", cpu=10_000)
     small = [
@@ -309,7 +319,7 @@
             assert [order.task.job_id for order in placed] == ["f" * 16]
 
 
-def test_gang_starts_whole_or_not_at_all(harness: Bench) -> None:
+def test_gang_starts_whole_or_not_at_all(harness: ShardHarness) -> None:
     harness.add_worker("w1", cpu=2000)
     harness.add_job(Step(3, cpu=1000, gang=True))
     assert harness.plan() == []
@@ -322,7 +332,7 @@
     assert job.state is JobState.SUCCEEDED
 
 
-def test_worker_that_fails_every_task_is_blocked(harness: Bench) -> None:
+def test_worker_that_fails_every_task_is_blocked(harness: ShardHarness) -> None:
     harness.add_worker("w1")
     for number in range(2):
         harness.add_job(Step(1, cpu=1000), job_id=f"{number:016x}")
@@ -333,7 +343,7 @@
     assert {order.worker_id for order in harness.plan()} == {"w2"}
 
 
-def test_nothing_starts_on_a_draining_worker(harness: Bench) -> None:
+def test_nothing_starts_on_a_draining_worker(harness: ShardHarness) -> None:
     harness.add_worker("w1")
     harness.add_worker("w2")
     draining = attrs.evolve(ENTRY, worker_id="w1", state=WorkerState.DRAINING)
@@ -342,7 +352,7 @@
     assert {order.worker_id for order in harness.plan()} == {"w2"}
 
 
-def test_required_label_and_anti_affinity_are_kept(harness: Bench) -> None:
+def test_required_label_and_anti_affinity_are_kept(harness: ShardHarness) -> None:
     harness.add_worker("w1")
     harness.add_worker("w2", labels=("b", "r1"))
     harness.add_worker("w3", labels=("b", "r2"))
@@ -351,7 +361,7 @@
     assert placed == ["w2", "w2", "w3", "w3"]
 
 
-def test_task_runs_near_its_data_where_capacity_is_free(harness: Bench) -> None:
+def test_task_runs_near_its_data_where_capacity_is_free(harness: ShardHarness) -> None:
     harness.add_worker("w1")
     harness.add_worker("w2", labels=("a", "r2"), cpu=2000)
     harness.add_job(Step(3, cpu=1000, affinity="r2"))
@@ -359,7 +369,9 @@
     assert placed == ["w1", "w2", "w2"]
 
 
-def test_tasks_done_between_two_passes_are_logged_in_one_line(harness: Bench) -> None:
+def test_tasks_done_between_two_passes_are_logged_in_one_line(
+    harness: ShardHarness,
+) -> None:
     harness.add_worker("w1")
     harness.add_worker("w2")
     harness.add_job(Step(4, cpu=1000, anti_affinity=3))
@@ -382,14 +394,14 @@
 def test_clock_bounds_allow_for_drift() -> None:
     clock = WorkerClock(1000.0, 10.0)
     assert clock.estimate(20.0) == 11_000.0
-    assert clock.bound_low(20.0) == pytest.approx(10_800.0)
+    assert clock.get_lower_bound(20.0) == pytest.approx(10_800.0)
     clock.observe(10_000.0, 20.0)
     assert clock.sample_ms == 1000.0
     clock.observe(10_900.0, 20.0)
     assert clock.sample_ms == 10_900.0
 
 
-def test_report_sums_the_work_of_submitted_jobs(harness: Bench) -> None:
+def test_report_sums_the_work_of_submitted_jobs(harness: ShardHarness) -> None:
     harness.add_job(Step(4, cpu=32_000, estimate_ms=500), Step(2, long_running=True))
     assert harness.shard.build_report(harness.now).offered == 0.0
     harness.add_worker("w1")
@@ -401,7 +413,9 @@
     assert harness.shard.build_report(harness.now).offered == 1.25
 
 
-def test_hold_wait_is_shorter_where_runs_are_expected_to_end(harness: Bench) -> None:
+def test_hold_wait_is_shorter_where_runs_are_expected_to_end(
+    harness: ShardHarness,
+) -> None:
     harness.shard.observe_worker(ENTRY, harness.now)
     record = harness.shard.workers["w1"]
     assert choose_hold_wait(record) == 0.0
@@ -420,7 +434,9 @@
     assert choose_hold_wait(record) == IDLE_WAIT_S
 
 
-def test_report_counts_only_waiting_tasks_that_need_more_vms(harness: Bench) -> None:
+def test_report_counts_only_waiting_tasks_that_need_more_vms(
+    harness: ShardHarness,
+) -> None:
     harness.add_worker("w1")
     harness.add_job(Step(1, cpu=64_000, estimate_ms=1000))
     harness.start_all()
@@ -432,7 +448,9 @@
     assert harness.shard.build_report(harness.now + 4.0).queued == 0.0
 
 
-def test_start_order_still_being_stored_is_not_treated_as_lost(harness: Bench) -> None:
+def test_start_order_still_being_stored_is_not_treated_as_lost(
+    harness: ShardHarness,
+) -> None:
     harness.add_worker("w1")
     harness.add_job(Step(1, cpu=1000))
     (order,) = harness.plan()
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -6,14 +6,14 @@
 import pytest
 
 from onyxgap.exceptions import DocumentError
-from onyxgap.jobs.amounts import NOTHING
 from onyxgap.jobs.amounts import UNLIMITED
+from onyxgap.jobs.amounts import ZERO_AMOUNT
 from onyxgap.jobs.amounts import Amount
-from onyxgap.jobs.share_book import Change
-from onyxgap.jobs.share_book import ShareBook
+from onyxgap.jobs.share_book import ShardShares
+from onyxgap.jobs.share_book import ShareUpdate
 from onyxgap.jobs.shares import CONTENDED_PEAK_HOLD_S
 from onyxgap.jobs.shares import PEAK_HOLD_S
-from onyxgap.jobs.shares import Entry
+from onyxgap.jobs.shares import ShareEntry
 from onyxgap.jobs.shares import compute_fair_fraction
 from onyxgap.jobs.shares import decode_entries
 from onyxgap.jobs.shares import encode_entries
@@ -29,9 +29,9 @@
     """A tenant's row in a store with conditional writes."""
 
     version: int = 0
-    entries: dict[str, Entry] = attrs.field(factory=dict)
+    entries: dict[str, ShareEntry] = attrs.field(factory=dict)
 
-    def apply(self, change: Change) -> int | None:
+    def apply(self, change: ShareUpdate) -> int | None:
         if change.version != self.version:
             return None
         self.version += 1
@@ -43,7 +43,7 @@
 class ShardOwner:
     """An owner with its shard, whose tasks all have the same size."""
 
-    book: ShareBook
+    shard_shares: ShardShares
     row: Row
     running: int = 0
     wanted: int = 0
@@ -52,30 +52,30 @@
     def plan(self, now: float) -> int:
         """Start the wanted tasks that the share allows and return their number."""
         used = self.task * self.running
-        self.book.open_plan({TENANT: used} if self.running else {})
+        self.shard_shares.begin_pass({TENANT: used} if self.running else {})
         started = 0
-        while self.wanted > started and self.book.admits(TENANT, self.task):
-            self.book.take(TENANT, self.task)
+        while self.wanted > started and self.shard_shares.admits(TENANT, self.task):
+            self.shard_shares.add_usage(TENANT, self.task)
             started += 1
         if self.wanted > started:
-            self.book.miss(TENANT, self.task, self.wanted - started)
+            self.shard_shares.add_unmet(TENANT, self.task, self.wanted - started)
         self.running += started
         self.wanted -= started
-        self.book.close_plan(ROOM, now)
+        self.shard_shares.end_pass(ROOM, now)
         return started
 
     def write(self) -> None:
         """Write the rows that need it; after a conflict, read the row again."""
-        for tenant in self.book.list_due():
-            change = self.book.open_change(tenant)
+        for tenant in self.shard_shares.list_tenants_to_write():
+            change = self.shard_shares.begin_update(tenant)
             if change is not None:
                 self.apply_change(change)
 
-    def apply_change(self, change: Change) -> None:
+    def apply_change(self, change: ShareUpdate) -> None:
         version = self.row.apply(change)
-        self.book.close_change(change, version)
+        self.shard_shares.end_update(change, version)
         if version is None:
-            self.book.observe(TENANT, self.row.entries, self.row.version)
+            self.shard_shares.observe(TENANT, self.row.entries, self.row.version)
 
     def plan_and_write(self, now: float) -> None:
         """Run scheduling passes and writes until shares have settled."""
@@ -88,20 +88,23 @@
     row: Row, name: str = "ring", epoch: int = 1, caps: dict[str, Amount] | None = None
 ) -> ShardOwner:
     caps = {TENANT: CAP} if caps is None else caps
-    book = ShareBook(name, epoch, lambda tenant: caps.get(tenant, UNLIMITED))
-    book.observe(TENANT, row.entries, row.version)
-    return ShardOwner(book, row)
+    shard_shares = ShardShares(name, epoch, lambda tenant: caps.get(tenant, UNLIMITED))
+    shard_shares.observe(TENANT, row.entries, row.version)
+    return ShardOwner(shard_shares, row)
 
 
 def sum_shares(row: Row) -> Amount:
-    total = NOTHING
+    total = ZERO_AMOUNT
     for entry in row.entries.values():
         total += entry.share
     return total
 
 
 def test_entries_round_trip_through_encoding() -> None:
-    entries = {"ring": Entry(Amount(1, 2, 3), Amount(4, 5, 6), 7), "herd": Entry()}
+    entries = {
+        "ring": ShareEntry(Amount(1, 2, 3), Amount(4, 5, 6), 7),
+        "herd": ShareEntry(),
+    }
     assert decode_entries(encode_entries(entries)) == entries
 
 
@@ -142,7 +145,7 @@
     assert shard.plan(1.0) == 1_000
     shard.write()
     assert shard.row.version == 0
-    assert shard.book.admits("", Amount(10**9))
+    assert shard.shard_shares.admits("", Amount(10**9))
 
 
 def test_whole_cap_goes_to_the_one_shard_that_wants_it() -> None:
@@ -162,7 +165,7 @@
     ring.write()
     ring.plan(1.1 + PEAK_HOLD_S + 0.01)
     ring.write()
-    assert row.entries["ring"].share == NOTHING
+    assert row.entries["ring"].share == ZERO_AMOUNT
     herd.wanted = 100
     herd.plan_and_write(2.2)
     assert herd.running == 20
@@ -179,7 +182,7 @@
     for _ in range(40):
         now += CONTENDED_PEAK_HOLD_S + 0.01
         herd.plan_and_write(now)
-        ring.book.observe(TENANT, row.entries, row.version)
+        ring.shard_shares.observe(TENANT, row.entries, row.version)
         # a task ends in each shard
         ring.running = max(0, ring.running - 1)
         herd.running = max(0, herd.running - 1)
@@ -201,12 +204,12 @@
     for _ in range(60):
         now += 0.2
         for shard in found:
-            shard.book.observe(TENANT, row.entries, row.version)
+            shard.shard_shares.observe(TENANT, row.entries, row.version)
             shard.plan_and_write(now)
         running = [shard for shard in found if shard.running]
         assert sum(shard.running for shard in found) <= 1
         for shard in running:
-            served.add(shard.book.shard)
+            served.add(shard.shard_shares.shard)
             shard.running = 0
     assert served == set(names)
 
@@ -218,7 +221,7 @@
     ring.wanted = herd.wanted = 10
     for _ in range(3):
         for shard in (ring, herd):
-            shard.book.observe(TENANT, row.entries, row.version)
+            shard.shard_shares.observe(TENANT, row.entries, row.version)
             shard.plan_and_write(1.0)
     assert ring.running + herd.running == 20
     lower = Amount(*(int(part * factor) for part in attrs.astuple(CAP)))
@@ -232,7 +235,7 @@
             busy = max((ring, herd), key=lambda shard: shard.running)
             busy.running -= 1
         for shard in (ring, herd):
-            shard.book.observe(TENANT, row.entries, row.version)
+            shard.shard_shares.observe(TENANT, row.entries, row.version)
             shard.plan_and_write(now)
         after = ring.running + herd.running
         assert after < before or (TASK * after).fits(lower)
@@ -259,8 +262,8 @@
     previous.running = 2
     previous.plan(1.1)
     previous.plan(1.1 + PEAK_HOLD_S + 0.01)
-    (tenant,) = previous.book.list_due()
-    delayed = previous.book.open_change(tenant)
+    (tenant,) = previous.shard_shares.list_tenants_to_write()
+    delayed = previous.shard_shares.begin_update(tenant)
     assert delayed is not None
     successor = build_shard(row, epoch=2)
     successor.running, successor.wanted = 2, 10
@@ -276,13 +279,13 @@
     previous.wanted = 4
     previous.plan_and_write(1.0)
     successor.running = 4
-    successor.book.observe(TENANT, row.entries, row.version)
+    successor.shard_shares.observe(TENANT, row.entries, row.version)
     successor.plan_and_write(1.5)
     assert row.entries["ring"].epoch == 2
-    previous.book.observe(TENANT, row.entries, row.version)
+    previous.shard_shares.observe(TENANT, row.entries, row.version)
     previous.running, previous.wanted = 0, 10
     assert previous.plan(3.0) == 0
-    assert previous.book.list_due() == []
+    assert previous.shard_shares.list_tenants_to_write() == []
 
 
 @attrs.define
@@ -294,8 +297,8 @@
     caps: dict[str, Amount] = attrs.field(factory=lambda: {TENANT: CAP})
     shards: list[ShardOwner] = attrs.field(factory=list)
     previous: list[ShardOwner] = attrs.field(factory=list)
-    in_flight: list[tuple[ShardOwner, Change]] = attrs.field(factory=list)
-    delayed: list[Change] = attrs.field(factory=list)
+    in_flight: list[tuple[ShardOwner, ShareUpdate]] = attrs.field(factory=list)
+    delayed: list[ShareUpdate] = attrs.field(factory=list)
     now: float = 1.0
     starts: int = 0
 
@@ -327,8 +330,8 @@
 
     def send(self, shard: ShardOwner) -> None:
         shard = self.rng.choice([shard, *self.previous[-2:]])
-        for tenant in shard.book.list_due():
-            change = shard.book.open_change(tenant)
+        for tenant in shard.shard_shares.list_tenants_to_write():
+            change = shard.shard_shares.begin_update(tenant)
             if change is not None:
                 self.in_flight.append((shard, change))
 
@@ -349,22 +352,24 @@
         present = self.row.entries
         if version is None and present == change.entries:
             version = self.row.version
-        shard.book.close_change(change, version)
-        shard.book.observe(TENANT, present, self.row.version)
+        shard.shard_shares.end_update(change, version)
+        shard.shard_shares.observe(TENANT, present, self.row.version)
 
     def deliver_late(self, _: ShardOwner) -> None:
         if self.delayed:
             self.row.apply(self.delayed.pop(self.rng.randrange(len(self.delayed))))
 
     def observe(self, shard: ShardOwner) -> None:
-        shard.book.observe(TENANT, self.row.entries, self.row.version)
+        shard.shard_shares.observe(TENANT, self.row.entries, self.row.version)
 
     def replace(self, shard: ShardOwner) -> None:
         if self.rng.random() < 0.9:
             return
         index = self.shards.index(shard)
-        book = shard.book
-        successor = build_shard(self.row, book.shard, book.epoch + 1, self.caps)
+        shard_shares = shard.shard_shares
+        successor = build_shard(
+            self.row, shard_shares.shard, shard_shares.epoch + 1, self.caps
+        )
         successor.running, successor.wanted = shard.running, shard.wanted
         self.shards[index] = successor
         # the previous owner starts nothing more but may still write
--- a/tests/test_shrinking_workers.py
+++ b/tests/test_shrinking_workers.py
@@ -12,7 +12,7 @@
 from onyxgap.jobs.shard import Shard
 from tests.emulated import extend_day
 from tests.emulated import play
-from tests.test_shard import Bench
+from tests.test_shard import ShardHarness
 
 SHRINKS = "\n".join(
     f"at {at} shrink vm {pool} for 9 by 0.3"
@@ -33,18 +33,18 @@
 
 
 @pytest.fixture
-def harness() -> Bench:
-    harness = Bench(Shard("s", epoch=3, claimed_at=50.0))
+def harness() -> ShardHarness:
+    harness = ShardHarness(Shard("s", epoch=3, claimed_at=50.0))
     harness.add_worker("w1", cpu=4000)
     return harness
 
 
-def resize(harness: Bench, cpu: int) -> None:
+def resize(harness: ShardHarness, cpu: int) -> None:
     entry = harness.shard.workers["w1"].entry
     harness.shard.observe_worker(attrs.evolve(entry, cpu=cpu), harness.now)
 
 
-def test_nothing_starts_above_a_reduced_capacity(harness: Bench) -> None:
+def test_nothing_starts_above_a_reduced_capacity(harness: ShardHarness) -> None:
     harness.add_job(Step(8, cpu=1000))
     first, second, *_ = harness.start_all()
     resize(harness, 2000)
@@ -55,9 +55,9 @@
 
 
 def test_unguarded_worker_is_skipped_until_it_registers_its_capacity_again(
-    harness: Bench,
+    harness: ShardHarness,
 ) -> None:
-    harness.shard.set_room_validity(2.5)
+    harness.shard.set_capacity_validity(2.5)
     harness.add_job(Step(1, cpu=1000))
     # The worker may have shrunk before this owner claimed the shard.
     assert harness.plan() == []
@@ -71,14 +71,14 @@
     assert len(harness.plan()) == 1
 
 
-def test_capacity_of_a_guarded_worker_does_not_expire(harness: Bench) -> None:
+def test_capacity_of_a_guarded_worker_does_not_expire(harness: ShardHarness) -> None:
     harness.add_job(Step(1, cpu=1000))
     harness.now += 60.0
     harness.report("w1")
     assert len(harness.plan()) == 1
 
 
-def test_runs_being_stopped_still_occupy_capacity(harness: Bench) -> None:
+def test_runs_being_stopped_still_occupy_capacity(harness: ShardHarness) -> None:
     harness.add_job(Step(4, cpu=1000))
     harness.start_all()
     harness.shard.cancel("a" * 16)
--- a/tests/test_slow_store.py
+++ b/tests/test_slow_store.py
@@ -6,10 +6,10 @@
 import attrs
 
 from onyxgap.daemons.authentication import Authentication
-from onyxgap.daemons.desk import NodeDesk
+from onyxgap.daemons.desk import LocalJobApi
 from onyxgap.jobs.desk import SubmitOutcome
+from onyxgap.jobs.health import MonitoredStore
 from onyxgap.jobs.health import StoreHealth
-from onyxgap.jobs.health import WatchedStore
 from onyxgap.jobs.messages import QueuePolicy
 from onyxgap.jobs.messages import Step
 from onyxgap.jobs.messages import Submission
@@ -36,17 +36,17 @@
     not_accepted: int = 0
 
 
-def build_desk(store: EmulatedStore, name: str) -> NodeDesk:
+def build_desk(store: EmulatedStore, name: str) -> LocalJobApi:
     clocks = EmulatedClocks()
     client = EmulatedStoreClient(store, NodeGate(name))
     health = StoreHealth()
     routes = RouteTable()
     authentication = Authentication(routes, build_exchange(routes))
-    store_client = WatchedStore(client, health, clocks)
-    return NodeDesk(store_client, health, clocks, routes, {}, {}, authentication)
+    store_client = MonitoredStore(client, health, clocks)
+    return LocalJobApi(store_client, health, clocks, routes, {}, {}, authentication)
 
 
-async def submit(desk: NodeDesk, job_id: str, results: SubmitResults) -> None:
+async def submit(desk: LocalJobApi, job_id: str, results: SubmitResults) -> None:
     policy = QueuePolicy("queue", "ring")
     submission = Submission(job_id, policy, "spec", (Step(1),))
     started = anyio.current_time()
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -12,27 +12,27 @@
 from onyxgap.jobs.shard import Shard
 from onyxgap.jobs.stragglers import INITIAL_BLOCK_S
 from onyxgap.jobs.stragglers import MAX_BLOCK_S
-from onyxgap.jobs.stragglers import MOST_MOVES
-from onyxgap.jobs.stragglers import Pace
-from onyxgap.jobs.stragglers import choose_block
-from onyxgap.jobs.stragglers import judge_pace
-from onyxgap.jobs.stragglers import measure_ratio
+from onyxgap.jobs.stragglers import MAX_MOVES
+from onyxgap.jobs.stragglers import SpeedClass
+from onyxgap.jobs.stragglers import classify_speed
+from onyxgap.jobs.stragglers import get_block_time
+from onyxgap.jobs.stragglers import get_relative_speed
 from onyxgap.jobs.workers import HoldReport
 from onyxgap.jobs.workers import StartOrder
-from tests.test_shard import Bench
+from tests.test_shard import ShardHarness
 
 STEP = Step(1, cpu=1000, estimate_ms=2000)
 
 
 @pytest.fixture
-def harness() -> Bench:
-    harness = Bench(Shard("s", epoch=3, claimed_at=50.0))
+def harness() -> ShardHarness:
+    harness = ShardHarness(Shard("s", epoch=3, claimed_at=50.0))
     harness.add_worker("w1")
     harness.add_worker("w2")
     return harness
 
 
-def report_progress(harness: Bench, order: StartOrder, percent: int) -> None:
+def report_progress(harness: ShardHarness, order: StartOrder, percent: int) -> None:
     harness.now += MIN_INTERVAL_S + 0.1
     clock_ms = 1000.0 + (harness.now - 100.0) * 1000
     item = RunningTask(order.task, order.run, "", percent)
@@ -60,29 +60,31 @@
     task = build_task("w1", 0.3)
     same_worker = build_task("w1", 3.0)
     others = [build_task("w2", 1.0), build_task("w3", 2.0), build_task("w3", None)]
-    assert measure_ratio(task, [task, same_worker]) is None
-    assert measure_ratio(task, [task, same_worker, *others]) == pytest.approx(0.2)
-    assert measure_ratio(build_task("w1", None), others) is None
+    assert get_relative_speed(task, [task, same_worker]) is None
+    assert get_relative_speed(task, [task, same_worker, *others]) == pytest.approx(0.2)
+    assert get_relative_speed(build_task("w1", None), others) is None
 
 
 @pytest.mark.parametrize(
     ("speeds", "ratios", "pace"),
     [
-        ([], [], Pace.UNKNOWN),
-        ([0.0], [], Pace.STANDING),
-        ([0.0, 0.0], [0.0, 0.0], Pace.STANDING),
-        ([0.2, 0.2], [0.2, 0.25], Pace.SLOW),
+        ([], [], SpeedClass.UNKNOWN),
+        ([0.0], [], SpeedClass.STALLED),
+        ([0.0, 0.0], [0.0, 0.0], SpeedClass.STALLED),
+        ([0.2, 0.2], [0.2, 0.25], SpeedClass.SLOW),
         # a job with a far too short declared run time doesn't make the worker slow
-        ([0.2, 0.2], [], Pace.SOUND),
-        ([0.2, 0.2], [0.2], Pace.SOUND),
-        ([0.2, 0.9], [0.2, 0.9, 1.1], Pace.SOUND),
+        ([0.2, 0.2], [], SpeedClass.NORMAL),
+        ([0.2, 0.2], [0.2], SpeedClass.NORMAL),
+        ([0.2, 0.9], [0.2, 0.9, 1.1], SpeedClass.NORMAL),
     ],
 )
-def test_speed_class(speeds: list[float], ratios: list[float], pace: Pace) -> None:
-    assert judge_pace(speeds, ratios) is pace
+def test_speed_class(
+    speeds: list[float], ratios: list[float], pace: SpeedClass
+) -> None:
+    assert classify_speed(speeds, ratios) is pace
 
 
-def test_stalled_task_is_started_on_another_worker(harness: Bench) -> None:
+def test_stalled_task_is_started_on_another_worker(harness: ShardHarness) -> None:
     harness.add_job(STEP)
     (order,) = harness.start_all()
     report_progress(harness, order, 30)
@@ -98,7 +100,9 @@
     assert again.run == order.run + 1
 
 
-def test_stalled_task_stays_if_no_other_worker_has_capacity(harness: Bench) -> None:
+def test_stalled_task_stays_if_no_other_worker_has_capacity(
+    harness: ShardHarness,
+) -> None:
     harness.add_job(Step(2, cpu=64_000, estimate_ms=2000))
     first, second = harness.start_all()
     report_progress(harness, second, 50)
@@ -108,9 +112,9 @@
     assert harness.shard.list_stops(harness.now) == []
 
 
-def test_task_that_stalls_everywhere_is_moved_only_twice(harness: Bench) -> None:
+def test_task_that_stalls_everywhere_is_moved_only_twice(harness: ShardHarness) -> None:
     harness.add_job(STEP)
-    for _ in range(MOST_MOVES):
+    for _ in range(MAX_MOVES):
         (order,) = harness.start_all()
         report_progress(harness, order, 0)
         report_progress(harness, order, 0)
@@ -126,7 +130,7 @@
 
 
 def test_block_time_of_a_slow_worker_doubles_up_to_its_bound() -> None:
-    assert [choose_block(number) for number in range(4)] == [
+    assert [get_block_time(number) for number in range(4)] == [
         INITIAL_BLOCK_S,
         2 * INITIAL_BLOCK_S,
         4 * INITIAL_BLOCK_S,
--- a/tests/test_tenant_days.py
+++ b/tests/test_tenant_days.py
@@ -17,7 +17,7 @@
 from onyxgap.jobs.routing import Route
 from onyxgap.jobs.shares import TenantShare
 from onyxgap.jobs.tenants import Caller
-from onyxgap.jobs.tenants import KeyFault
+from onyxgap.jobs.tenants import KeyRejection
 from onyxgap.jobs.tenants import identify
 from tests.emulated import assert_noticed
 from tests.emulated import extend_day
@@ -73,9 +73,9 @@
 def accept_unknown_keys(patch: pytest.MonkeyPatch) -> None:
     async def identify_any(
         self: Authentication, route: Route, keys: t.Sequence[bytes], job_id: str
-    ) -> Caller | KeyFault:
+    ) -> Caller | KeyRejection:
         found = identify(keys, self.routes.keys)
-        return Caller("north") if isinstance(found, KeyFault) else found
+        return Caller("north") if isinstance(found, KeyRejection) else found
 
     patch.setattr(Authentication, "identify", identify_any)
 
@@ -101,7 +101,7 @@
 
 def use_unchecked_shares(patch: pytest.MonkeyPatch) -> None:
     def find_limit(self: TenantShare) -> Amount:
-        return self.get_own().share
+        return self.get_own_entry().share
 
     patch.setattr(TenantShare, "_find_limit", find_limit)
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -8,9 +8,9 @@
 import pytest
 import structlog.testing
 
-from onyxgap.daemons.authentication import LOGGED_PER_S
+from onyxgap.daemons.authentication import MAX_LOGGED_PER_S
 from onyxgap.daemons.authentication import Authentication
-from onyxgap.daemons.configuration_exchange import VALID_SHARE
+from onyxgap.daemons.configuration_exchange import VALID_FRACTION
 from onyxgap.exceptions import PlatformUnavailableError
 from onyxgap.jobs.amounts import NO_LIMIT
 from onyxgap.jobs.amounts import Amount
@@ -24,10 +24,10 @@
 from onyxgap.jobs.routing import Configuration
 from onyxgap.jobs.routing import Route
 from onyxgap.jobs.routing import RouteTable
-from onyxgap.jobs.tenants import ANYONE
+from onyxgap.jobs.tenants import ANONYMOUS
 from onyxgap.jobs.tenants import MAX_KEY_BYTES
 from onyxgap.jobs.tenants import Caller
-from onyxgap.jobs.tenants import KeyFault
+from onyxgap.jobs.tenants import KeyRejection
 from onyxgap.jobs.tenants import Tenant
 from onyxgap.jobs.tenants import digest_key
 from onyxgap.jobs.tenants import identify
@@ -54,20 +54,20 @@
         ([b"n1"], Caller("north")),
         ([b"n2"], Caller("north")),
         ([b"s1"], Caller("south")),
-        ([], KeyFault.MISSING),
-        ([b""], KeyFault.MISSING),
-        ([b"n1", b"n1"], KeyFault.REPEATED),
-        ([b"", b"n1"], KeyFault.REPEATED),
-        ([b"n"], KeyFault.UNKNOWN),
-        ([b"N1"], KeyFault.UNKNOWN),
-        ([b"north"], KeyFault.UNKNOWN),
-        ([b"\xff\x00"], KeyFault.UNKNOWN),
-        ([b"n" * MAX_KEY_BYTES], KeyFault.UNKNOWN),
-        ([b"n" * (MAX_KEY_BYTES + 1)], KeyFault.TOO_LONG),
+        ([], KeyRejection.MISSING),
+        ([b""], KeyRejection.MISSING),
+        ([b"n1", b"n1"], KeyRejection.REPEATED),
+        ([b"", b"n1"], KeyRejection.REPEATED),
+        ([b"n"], KeyRejection.UNKNOWN),
+        ([b"N1"], KeyRejection.UNKNOWN),
+        ([b"north"], KeyRejection.UNKNOWN),
+        ([b"\xff\x00"], KeyRejection.UNKNOWN),
+        ([b"n" * MAX_KEY_BYTES], KeyRejection.UNKNOWN),
+        ([b"n" * (MAX_KEY_BYTES + 1)], KeyRejection.TOO_LONG),
     ],
 )
 def test_caller_needs_exactly_one_complete_key(
-    keys: list[bytes], found: Caller | KeyFault
+    keys: list[bytes], found: Caller | KeyRejection
 ) -> None:
     assert identify(keys, index_keys(TENANTS)) == found
 
@@ -83,7 +83,7 @@
     ],
 )
 def test_job_access_by_tenant(caller: str, owner: str, may: bool) -> None:
-    assert Caller(caller).may_use(owner) is may
+    assert Caller(caller).may_access(owner) is may
 
 
 def build_routes(*, keyed: bool = True) -> RouteTable:
@@ -108,17 +108,17 @@
 
 def test_public_queue_and_deployment_without_tenants_need_no_key() -> None:
     authentication, reasons = build_authentication(age_s=99.0)
-    assert identify_caller(authentication, OPEN, b"stray") is ANYONE
+    assert identify_caller(authentication, OPEN, b"stray") is ANONYMOUS
     authentication, reasons = build_authentication(age_s=99.0, keyed=False)
-    assert identify_caller(authentication, KEYED) is ANYONE
+    assert identify_caller(authentication, KEYED) is ANONYMOUS
     assert reasons == []
 
 
 def test_key_is_checked_only_while_configuration_is_known_to_be_current() -> None:
-    authentication, _ = build_authentication(age_s=2.0 * VALID_SHARE)
+    authentication, _ = build_authentication(age_s=2.0 * VALID_FRACTION)
     assert identify_caller(authentication, KEYED, b"n1") == Caller("north")
-    assert identify_caller(authentication, KEYED, b"x") is KeyFault.UNKNOWN
-    authentication, _ = build_authentication(age_s=2.0 * VALID_SHARE + 0.01)
+    assert identify_caller(authentication, KEYED, b"x") is KeyRejection.UNKNOWN
+    authentication, _ = build_authentication(age_s=2.0 * VALID_FRACTION + 0.01)
     for key in (b"n1", b"x"):
         found = identify_caller(authentication, KEYED, key)
         assert found is Unavailable.CONFIGURATION_AGE
@@ -127,11 +127,11 @@
 def test_all_refusals_are_counted_but_their_log_rate_is_limited() -> None:
     authentication, reasons = build_authentication()
     with structlog.testing.capture_logs() as lines:
-        for _ in range(LOGGED_PER_S + 30):
+        for _ in range(MAX_LOGGED_PER_S + 30):
             identify_caller(authentication, KEYED, b"stray-key")
-    assert len(reasons) == LOGGED_PER_S + 30
+    assert len(reasons) == MAX_LOGGED_PER_S + 30
     assert set(reasons) == {"unknown key"}
-    assert len(lines) == LOGGED_PER_S
+    assert len(lines) == MAX_LOGGED_PER_S
     assert lines[0]["job"] == JOB_ID
     assert "stray-key" not in str(lines)
 
@@ -208,16 +208,16 @@
         return await self.authentication.identify(route, keys, job_id)
 
     async def submit(self, submission: Submission) -> SubmitResult:
-        if not Caller(submission.tenant).may_use("south"):
+        if not Caller(submission.tenant).may_access("south"):
             return SubmitResult(SubmitOutcome.OTHER_TENANT)
         self.submitted.append(submission)
         return SubmitResult(SubmitOutcome.ACCEPTED)
 
     async def get_state(self, route: Route, job_id: str, caller: Caller) -> t.Any:
-        return JobState.RUNNING if caller.may_use("south") else Denied.OTHER_TENANT
+        return JobState.RUNNING if caller.may_access("south") else Denied.OTHER_TENANT
 
     async def cancel(self, route: Route, job_id: str, caller: Caller) -> t.Any:
-        return True if caller.may_use("south") else Denied.OTHER_TENANT
+        return True if caller.may_access("south") else Denied.OTHER_TENANT
 
     def count_waiting(self, route: Route) -> int:
         return 3
--- a/tests/test_waiting_counts.py
+++ b/tests/test_waiting_counts.py
@@ -7,7 +7,7 @@
 import structlog.testing
 
 from onyxgap.daemons.authentication import Authentication
-from onyxgap.daemons.desk import NodeDesk
+from onyxgap.daemons.desk import LocalJobApi
 from onyxgap.jobs.desk import Unavailable
 from onyxgap.jobs.health import StoreHealth
 from onyxgap.jobs.job import Job
@@ -49,16 +49,16 @@
 
 
 @pytest.fixture
-def desk(clocks: SetClocks) -> NodeDesk:
+def desk(clocks: SetClocks) -> LocalJobApi:
     routes = RouteTable()
     routes.adopt(Configuration(1, (ROUTE,), {"ring": Service("ring")}))
     store = EmulatedStoreClient(EmulatedStore(random.Random(1), None), NodeGate("n"))
     authentication = Authentication(routes, build_exchange(routes))
-    return NodeDesk(store, StoreHealth(), clocks, routes, {}, {}, authentication)
+    return LocalJobApi(store, StoreHealth(), clocks, routes, {}, {}, authentication)
 
 
 def test_waiting_count_reports_source_and_age(
-    desk: NodeDesk, clocks: SetClocks
+    desk: LocalJobApi, clocks: SetClocks
 ) -> None:
     answers = []
     desk.on_answer = lambda *answer: answers.append(answer)
@@ -72,25 +72,25 @@
 
 
 def test_claim_without_a_count_is_not_reported_as_zero(
-    desk: NodeDesk, clocks: SetClocks
+    desk: LocalJobApi, clocks: SetClocks
 ) -> None:
     claim = OwnerRow("node-2", "boot-2", epoch=4)
     desk.views["ring"] = OwnerView(claim, 2, clocks.now)
     assert desk.count_waiting(ROUTE) is Unavailable.COUNT
 
 
-def test_expired_count_is_not_reported(desk: NodeDesk, clocks: SetClocks) -> None:
+def test_expired_count_is_not_reported(desk: LocalJobApi, clocks: SetClocks) -> None:
     desk.views["ring"] = OwnerView(OWNER_ROW, 1, clocks.now)
     clocks.now += 10.0
     assert desk.count_waiting(ROUTE) is Unavailable.COUNT
 
 
-def test_queue_without_an_owner_is_not_reported_as_empty(desk: NodeDesk) -> None:
+def test_queue_without_an_owner_is_not_reported_as_empty(desk: LocalJobApi) -> None:
     assert desk.count_waiting(ROUTE) is Unavailable.COUNT
 
 
 def test_count_includes_jobs_in_the_previous_service_of_a_queue(
-    desk: NodeDesk, clocks: SetClocks
+    desk: LocalJobApi, clocks: SetClocks
 ) -> None:
     # guards against omitting jobs that wait in the shard of the previous service
     desk.views["ring"] = OwnerView(attrs.evolve(OWNER_ROW, waiting={}), 1, clocks.now)
