--- a/bench/shard.py
+++ b/bench/shard.py
@@ -1,4 +1,4 @@
-"""Slopes of a shard's owner and of the fleet's holder: python -m bench.shard."""
+"""Slopes of a shard's owner and of the fleet controller: python -m bench.shard."""
 
 import random
 import time
@@ -97,7 +97,7 @@
 
 
 def measure_fleet(vms: int) -> float:
-    """Measure one plan of the fleet's holder, nothing to do."""
+    """Measure one pass of the fleet controller that has nothing to do."""
     planner = FleetPlanner(2.0, 1, spare_pool="spare", shards=frozenset("s"))
     listed = [
         Vm(f"m{number}", "s", VmState.UP, worker_id=f"w{number}")
--- a/bench/soak/platform.py
+++ b/bench/soak/platform.py
@@ -64,7 +64,7 @@
     :param store: the store as the node reaches it.
     :param cloud: the VMs as it reaches them.
     :param orders: the workers as it reaches them.
-    :param workers: lives of workers.
+    :param workers: incarnations of workers.
     :param address: where this listens.
     """
 
--- a/bench/soak/processes.py
+++ b/bench/soak/processes.py
@@ -122,7 +122,7 @@
 
     @property
     def holder(self) -> bool:
-        """Whether it holds the fleet duty."""
+        """Whether it has the fleet controller role."""
         return tables.FLEET_SHARD in self.owners
 
     async def release(self) -> None:
--- a/src/onyxgap/daemons/desk.py
+++ b/src/onyxgap/daemons/desk.py
@@ -274,8 +274,8 @@
         policy = route.policy
         configuration = self.routes.configuration
         others = configuration.list_shards() if configuration else ()
-        former = self.routes.list_previous_services(policy)
-        return list(dict.fromkeys([policy.service, *former, *others]))
+        previous = self.routes.list_previous_services(policy)
+        return list(dict.fromkeys([policy.service, *previous, *others]))
 
     async def get_state(
         self, route: Route, job_id: str, caller: Caller = ANONYMOUS
--- a/src/onyxgap/daemons/node.py
+++ b/src/onyxgap/daemons/node.py
@@ -133,14 +133,14 @@
             and now >= self._claim_after.get(shard, 0.0)
             and shard in self._list_shards()
         }
-        weak = is_small_vm(self.memory_mb, self.members.values())
+        small_vm = is_small_vm(self.memory_mb, self.members.values())
         claimant = Claimant(
             self.settings.node,
             self.boot,
             self._count_owned(),
             self.health.latency_s,
-            weak,
-            yields=weak and self.settings.contended,
+            small_vm,
+            yields=small_vm and self.settings.contended,
         )
         assert self._group is not None
         for shard in list_claimable(views, claimant, reachable_since, now)[:1]:
--- a/src/onyxgap/daemons/node_peers.py
+++ b/src/onyxgap/daemons/node_peers.py
@@ -129,9 +129,9 @@
         while True:
             await anyio.sleep(HAND_OVER_INTERVAL_S)
             now = self.clocks.read_monotonic()
-            offer_policy.weak = is_small_vm(self.memory_mb, self.members.values())
+            offer_policy.small_vm = is_small_vm(self.memory_mb, self.members.values())
             offer_policy.observe_lag(self.lag.seconds, now)
-            if offer_policy.weak:
+            if offer_policy.small_vm:
                 self._offer_previous_shards()
             for owner in list(self.owners.values()):
                 if owner.loaded_at is None or self._stopping:
@@ -142,7 +142,7 @@
                         "shard offered",
                         shard=owner.shard,
                         epoch=owner.epoch,
-                        weak=offer_policy.weak,
+                        weak=offer_policy.small_vm,
                         lag_s=round(self.lag.seconds, 3),
                     )
                     self._notify_large_vm_nodes(
--- a/src/onyxgap/daemons/owner.py
+++ b/src/onyxgap/daemons/owner.py
@@ -268,7 +268,7 @@
         expired: tuple[str, ...] = ()
         if renewal_due:
             expired = self._list_expired(now)
-            outlook = encode_delay_estimate(self.state.build_outlook(now))
+            outlook = encode_delay_estimate(self.state.build_delay_estimate(now))
             self.writer.add_renewal(puts, now, self.state.count_waiting(), outlook)
         if report is not None:
             puts[tables.get_report_row(self.shard)] = encode_report(report)
--- a/src/onyxgap/daemons/retention.py
+++ b/src/onyxgap/daemons/retention.py
@@ -19,7 +19,7 @@
 
 @attrs.define
 class Sweeper:
-    """Removes expired claims on idempotency keys and rows of lapsed members.
+    """Removes expired claims on idempotency keys and rows of members that timed out.
 
     Each deletion is conditional on the version that was read, so a row that has
     changed since then is kept.
--- a/src/onyxgap/jobs/admission.py
+++ b/src/onyxgap/jobs/admission.py
@@ -90,9 +90,9 @@
         return round(SCALE_UP_S + left_s / max(self.vms, self.fleet), 3)
 
 
-def encode_delay_estimate(outlook: DelayEstimate) -> dict[str, t.Any]:
+def encode_delay_estimate(estimate: DelayEstimate) -> dict[str, t.Any]:
     """Encode an estimate as JSON; an empty backlog gives an empty object."""
-    return attrs.asdict(outlook) if outlook != DelayEstimate() else {}
+    return attrs.asdict(estimate) if estimate != DelayEstimate() else {}
 
 
 def decode_delay_estimate(raw: t.Mapping[str, t.Any]) -> DelayEstimate:
@@ -182,14 +182,14 @@
     _retry_backlogs: dict[str, tuple[float, float]] = attrs.field(factory=dict)
 
     def check(
-        self, submission: Submission, outlook: DelayEstimate, nodes: int, now: float
+        self, submission: Submission, estimate: DelayEstimate, nodes: int, now: float
     ) -> OverloadRejection | None:
         """Check whether a job should be admitted.
 
         Scheduled jobs and jobs with long-running steps are always admitted.
 
         :param submission: the job.
-        :param outlook: delay estimate of its shard.
+        :param estimate: delay estimate of its shard.
         :param nodes: number of nodes that accept jobs; each of them rejects alike.
         :param now: monotonic seconds.
         :returns: the rejection, or ``None`` if the job is admitted.
@@ -197,7 +197,7 @@
         if submission.times or any(step.long_running for step in submission.steps):
             return None
         objective_s, critical_path_s = _get_objective(submission)
-        delay = outlook.get_delay(submission.tenant)
+        delay = estimate.get_delay(submission.tenant)
         slack_s = USEFUL_FACTOR * objective_s - critical_path_s
         if (
             delay.in_time_s <= objective_s - critical_path_s
@@ -207,7 +207,7 @@
         shard = submission.policy.service
         last_s, at = self._retry_backlogs.get(shard, (0.0, now))
         # the backlog has drained since the last rejection
-        behind_s = max(0.0, last_s - (now - at)) + outlook.job_s * max(1, nodes)
+        behind_s = max(0.0, last_s - (now - at)) + estimate.job_s * max(1, nodes)
         self._retry_backlogs[shard] = (behind_s, now)
         wait_s = delay.of_use_s - slack_s + behind_s
         retry_after_s = min(max(math.ceil(wait_s), MIN_RETRY_S), MAX_RETRY_S)
--- a/src/onyxgap/jobs/advice.py
+++ b/src/onyxgap/jobs/advice.py
@@ -60,47 +60,51 @@
     wanted: dict[StepKey, tuple[str, ...]] = attrs.field(factory=dict)
     _entries: dict[StepKey, _CachedAdvice] = attrs.field(factory=dict)
 
-    def get_tickets(self, group: StepKey, now: float) -> t.Mapping[str, str] | None:
+    def get_tickets(self, step_key: StepKey, now: float) -> t.Mapping[str, str] | None:
         """Give the valid tickets of a step, or ``None`` if it has to request them."""
-        entry = self._entries.get(group)
+        entry = self._entries.get(step_key)
         if entry is None or now >= entry.expires_at:
             return None
         return entry.advice.tickets
 
-    def request_tickets(self, group: StepKey, workers: t.Sequence[str]) -> None:
+    def request_tickets(self, step_key: StepKey, workers: t.Sequence[str]) -> None:
         """Add a request for tickets.
 
-        :param group: job, occurrence and number of the step.
+        :param step_key: job, occurrence and number of the step.
         :param workers: workers that could run it, the best first.
         """
-        self.wanted[group] = tuple(workers[:MAX_WORKERS_PER_REQUEST])
+        self.wanted[step_key] = tuple(workers[:MAX_WORKERS_PER_REQUEST])
 
     def pop_request(self) -> tuple[StepKey, tuple[str, ...]] | None:
         """Remove and return the first pending request."""
-        for group in self.wanted:
-            return group, self.wanted.pop(group)
+        for step_key in self.wanted:
+            return step_key, self.wanted.pop(step_key)
         return None
 
-    def store_advice(self, group: StepKey, advice: Advice | None, now: float) -> None:
+    def store_advice(
+        self, step_key: StepKey, advice: Advice | None, now: float
+    ) -> None:
         """Store a response, or record that there was none.
 
-        :param group: job, occurrence and number of the step.
+        :param step_key: job, occurrence and number of the step.
         :param advice: the response, ``None`` if there was none.
         :param now: monotonic seconds when the request was sent.
         """
         if advice is None or not advice.tickets:
             advice = Advice({}, EMPTY_RETRY_S + EXPIRY_MARGIN_S)
-        self._entries[group] = _CachedAdvice(
+        self._entries[step_key] = _CachedAdvice(
             advice, now + advice.valid_s - EXPIRY_MARGIN_S
         )
 
-    def remove_tickets(self, group: StepKey) -> None:
+    def remove_tickets(self, step_key: StepKey) -> None:
         """Remove the tickets of a step, one of which was refused."""
-        self._entries.pop(group, None)
+        self._entries.pop(step_key, None)
 
     def forget_job(self, job_id: str) -> None:
         """Remove the tickets and pending requests of a job that has ended."""
-        for group in [group for group in self._entries if group[0] == job_id]:
-            del self._entries[group]
-        for group in [group for group in self.wanted if group[0] == job_id]:
-            del self.wanted[group]
+        for step_key in [
+            step_key for step_key in self._entries if step_key[0] == job_id
+        ]:
+            del self._entries[step_key]
+        for step_key in [step_key for step_key in self.wanted if step_key[0] == job_id]:
+            del self.wanted[step_key]
--- a/src/onyxgap/jobs/crashes.py
+++ b/src/onyxgap/jobs/crashes.py
@@ -4,7 +4,7 @@
 which of them is the cause. Such tasks crash their workers within milliseconds of their
 start, so a run that a report still listed some time after its start is not the cause.
 The other tasks are started again on separate workers, so that the next crash has only
-one suspect. A task that was the only suspect in two crashes is given up, with its job.
+one suspect. A task that was the only suspect in two crashes fails, with its job.
 Without a limit, such a task crashes a worker at each start, and the other runs on that
 worker are lost too.
 """
@@ -41,9 +41,9 @@
 
 CRASH_RETENTION_S = 12.0
 """Time for which worker crashes without a task count in its favour. A task that crashes
-its workers is given up well within this time."""
+its workers fails well within this time."""
 UNRELATED_CRASHES_PER_EXTRA = 2
-"""Worker crashes without a task for each extra crash that is required to give it up."""
+"""Worker crashes without a task for each extra crash required before it fails."""
 MAX_EXTRA_CRASHES = 2
 """Bounds how many workers a task crashes while other workers crash by themselves."""
 
@@ -152,7 +152,7 @@
         self._crashes.append((now, frozenset(job_ids)))
 
     def get_extra_crashes(self, job_id: str) -> int:
-        """Return how many extra crashes are required before a job is given up.
+        """Return how many extra crashes are required before a job fails.
 
         :param job_id: the job.
         """
@@ -166,7 +166,7 @@
     Suspects are the runs not known to have survived :data:`START_CRASH_WINDOW_MS`.
     If there are none, suspects are those not known to have survived
     :data:`CRASH_WINDOW_MS`. They are blamed only if all of them belong to one job, each
-    with the full amount, since a job is given up as a whole. An unconfirmed run may
+    with the full amount, since a job fails as a whole. An unconfirmed run may
     never have reached the worker: as a suspect it keeps other jobs from being blamed,
     but it gets no blame itself.
 
--- a/src/onyxgap/jobs/ownership.py
+++ b/src/onyxgap/jobs/ownership.py
@@ -37,7 +37,7 @@
 LOAD_REPORT_VALID_S = 2.0
 """Maximum age of a load report. Owners renew their row every 0.7 s, and other nodes
 read it at most 0.7 s later."""
-FORMER_SHARD_DELAY_S = 0.6
+PREVIOUS_SHARD_DELAY_S = 0.6
 """Time for which a node on a small VM leaves the shards of its previous process to
 nodes on larger VMs. Those need the time for a hand-over notice and a claim."""
 
@@ -181,7 +181,7 @@
         return view.handed_over_at + delay
     if row.node == claimant.node and row.boot != claimant.boot:
         # the owner was a previous process of this node, which no longer exists
-        return view.changed_at + FORMER_SHARD_DELAY_S * claimant.yields
+        return view.changed_at + PREVIOUS_SHARD_DELAY_S * claimant.yields
     timeout_s = OWNER_TIMEOUT_S + LATENCY_FACTOR * claimant.latency_s
     return max(view.changed_at, store_reachable_since) + timeout_s + delay
 
--- a/src/onyxgap/jobs/placing.py
+++ b/src/onyxgap/jobs/placing.py
@@ -49,7 +49,8 @@
     :param acknowledged: sequence number of the newest ended run that is stored.
     :param slow_streak: number of times in a row that the worker was found slow.
     :param tasks_to_move: tasks to move, since the worker is slow or stalled.
-    :param strikes: first-attempt failures of tasks since the last success.
+    :param first_attempt_failures: first attempts of tasks that failed since the
+        last success.
     :param blocked_until: monotonic seconds before which no task is placed there.
     :param capacity_valid_until: monotonic seconds until which the capacity told in the
         registration may be relied on.
@@ -80,7 +81,7 @@
     acknowledged: int = 0
     slow_streak: int = 0
     tasks_to_move: list[Task] = attrs.field(factory=list)
-    strikes: int = 0
+    first_attempt_failures: int = 0
     blocked_until: float = 0.0
     capacity_valid_until: float = math.inf
     cordoned: bool = False
@@ -103,7 +104,7 @@
             and self.blocked_until <= now < self.capacity_valid_until
         )
 
-    def has_room(self, step: Step) -> bool:
+    def has_capacity(self, step: Step) -> bool:
         """Return whether the free capacity is enough for a task of a step."""
         entry = self.entry
         cpu = 0 if step.fills else step.cpu
@@ -198,7 +199,7 @@
     """
     # free capacity is checked first: with a long queue most workers have none
     return (
-        worker.has_room(step)
+        worker.has_capacity(step)
         and worker.is_open(now)
         and worker.meets_isolation(step_key[0], isolation)
         and _is_allowed(worker, step, step_key)
@@ -257,7 +258,7 @@
     return (
         entry.worker_id in avoid,
         misses_affinity,
-        worker.strikes,
+        worker.first_attempt_failures,
         due,
         load_order,
         entry.worker_id,
--- a/src/onyxgap/jobs/relief.py
+++ b/src/onyxgap/jobs/relief.py
@@ -27,10 +27,10 @@
 class ShardOfferPolicy:
     """Decides when a node offers the shards that it owns.
 
-    :param weak: whether its VM is much smaller than the largest one.
+    :param small_vm: whether its VM is much smaller than the largest one.
     """
 
-    weak: bool = False
+    small_vm: bool = False
     _lagging_since: float | None = None
     _offered_at: dict[tuple[str, int], float] = attrs.field(factory=dict)
 
@@ -58,7 +58,7 @@
         :param owned_s: seconds since this node loaded the shard.
         :param now: monotonic seconds.
         """
-        if owned_s < MIN_OWNED_S or not (self.weak or self.is_lagging(now)):
+        if owned_s < MIN_OWNED_S or not (self.small_vm or self.is_lagging(now)):
             return False
         key = (shard, epoch)
         offered_at = self._offered_at.get(key)
--- a/src/onyxgap/jobs/shard.py
+++ b/src/onyxgap/jobs/shard.py
@@ -40,7 +40,7 @@
 
 START_WINDOW_MS = 500.0
 """How long a start order stays valid. Whether a lost order has started its run is
-settled by the first report requested after that. Orders that workers carry out late
+known from the first report requested after that. Orders that workers carry out late
 come at least 2 s late."""
 
 _LOG = structlog.get_logger()
@@ -169,7 +169,7 @@
         """Return the smoothed seconds that start orders wait to be stored and sent."""
         return self.run_times.lag_s if self.run_times is not None else 0.0
 
-    def build_outlook(self, now: float) -> DelayEstimate:
+    def build_delay_estimate(self, now: float) -> DelayEstimate:
         """Estimate the wait of a job submitted now, as of the last scheduling pass.
 
         :param now: monotonic seconds.
@@ -216,9 +216,9 @@
         advised = ready.job.submission.policy.advised
         if not advised and not step.long_running and free_capacity.is_unplaceable(step):
             return
-        group = get_step_key(ready.tasks[0])
+        step_key = get_step_key(ready.tasks[0])
         allowed = self._list_advised_workers(ready, now) if advised else None
-        candidates = free_capacity.build_candidates(step, group, allowed)
+        candidates = free_capacity.build_candidates(step, step_key, allowed)
         worker_reserved = False
         for position, task in enumerate(ready.tasks):
             if not self._fits_share(
@@ -230,12 +230,12 @@
             if record is None and isolation is not IsolationLevel.NONE:
                 # other tasks of the step may use workers that this one must not
                 if not worker_reserved:
-                    self._reserve_worker_for_suspect(free_capacity, step, group)
+                    self._reserve_worker_for_suspect(free_capacity, step, step_key)
                 worker_reserved = True
                 continue
             if record is None:
                 if step.long_running:
-                    self._reserve_worker(step, group)
+                    self._reserve_worker(step, step_key)
                 if allowed is None:
                     free_capacity.note_unplaceable(step)
                 return
@@ -247,22 +247,24 @@
         If it has no valid tickets, no worker is allowed and the service is asked.
         """
         step = ready.job.submission.steps[ready.step]
-        group = get_step_key(ready.tasks[0])
-        tickets = self.ticket_cache.get_tickets(group, now)
+        step_key = get_step_key(ready.tasks[0])
+        tickets = self.ticket_cache.get_tickets(step_key, now)
         if tickets is not None:
             return tickets.keys()
         fitting = [
             record
             for record in self.workers.values()
-            if may_ever_run(record, step, group)
+            if may_ever_run(record, step, step_key)
         ]
-        fitting.sort(key=lambda record: (not record.has_room(step), record.cpu_used))
+        fitting.sort(
+            key=lambda record: (not record.has_capacity(step), record.cpu_used)
+        )
         self.ticket_cache.request_tickets(
-            group, [record.entry.worker_id for record in fitting]
+            step_key, [record.entry.worker_id for record in fitting]
         )
         return ()
 
-    def _reserve_worker(self, step: Step, group: StepKey) -> None:
+    def _reserve_worker(self, step: Step, step_key: StepKey) -> None:
         """Reserve the worker that should be the first to fit a task of a step.
 
         This is for serving tasks and for tasks suspected of crashing workers. Without
@@ -271,13 +273,13 @@
         fitting = [
             record
             for record in self.workers.values()
-            if not record.reserved and may_ever_run(record, step, group)
+            if not record.reserved and may_ever_run(record, step, step_key)
         ]
         if fitting:
             min(fitting, key=lambda record: record.cpu_used).reserved = True
 
     def _reserve_worker_for_suspect(
-        self, free_capacity: PassCapacity, step: Step, group: StepKey
+        self, free_capacity: PassCapacity, step: Step, step_key: StepKey
     ) -> None:
         """Reserve a worker for a suspected task, unless half of them are reserved.
 
@@ -286,7 +288,7 @@
         """
         reserved = sum(record.reserved for record in free_capacity.records)
         if 2 * reserved < len(free_capacity.records):
-            self._reserve_worker(step, group)
+            self._reserve_worker(step, step_key)
 
     def _place_gang(self, ready: ReadyStep, now: float) -> list[StartOrder]:
         step = ready.job.submission.steps[ready.step]
@@ -302,11 +304,11 @@
         cares = {task.loss_history.isolation for task in ready.tasks}
         isolation = next(item for item in reversed(IsolationLevel) if item in cares)
         for task in ready.tasks:
-            group = get_step_key(task)
-            record = choose_worker(allowed, step, group, now, isolation=isolation)
+            step_key = get_step_key(task)
+            record = choose_worker(allowed, step, step_key, now, isolation=isolation)
             if record is None:
                 break
-            record.reserve(step, group)
+            record.reserve(step, step_key)
             chosen.append((task, record))
         for task, record in chosen:
             record.free(step, get_step_key(task))
--- a/src/onyxgap/jobs/shard_reports.py
+++ b/src/onyxgap/jobs/shard_reports.py
@@ -257,16 +257,16 @@
         self, record: WorkerRecord, task: Task, kind: EndKind, now: float
     ) -> None:
         if kind is EndKind.DONE:
-            record.strikes = 0
+            record.first_attempt_failures = 0
         elif kind is EndKind.FAILED and not task.failures:
-            record.strikes += 1
-            if record.strikes >= FAILURES_TO_BLOCK:
+            record.first_attempt_failures += 1
+            if record.first_attempt_failures >= FAILURES_TO_BLOCK:
                 record.blocked_until = now + FAILURE_BLOCK_S
                 _LOG.info(
                     "worker blocked",
                     worker=record.entry.worker_id,
                     service=self.service,
-                    strikes=record.strikes,
+                    strikes=record.first_attempt_failures,
                     for_s=FAILURE_BLOCK_S,
                 )
 
@@ -278,12 +278,12 @@
     ) -> None:
         assert record.clock is not None
         min_clock_ms = record.clock.get_lower_bound(sent_at)
-        for group in list(record.present):
-            job = self.jobs.get(group[0])
+        for step_key in list(record.present):
+            job = self.jobs.get(step_key[0])
             if job is None:
                 continue
-            occurrence = job.occurrences.get(group[1])
-            for task in occurrence.steps[group[2]] if occurrence else ():
+            occurrence = job.occurrences.get(step_key[1])
+            for task in occurrence.steps[step_key[2]] if occurrence else ():
                 if task.worker_id != record.entry.worker_id or not task.placed:
                     continue
                 if (task.task_id, task.run) in listed:
--- a/src/onyxgap/jobs/shard_stops.py
+++ b/src/onyxgap/jobs/shard_stops.py
@@ -54,8 +54,8 @@
                     continue
                 if task.worker_id != record.entry.worker_id:
                     continue
-                step, group = job.get_step(task), get_step_key(task)
-                if choose_worker(self.workers.values(), step, group, now) is None:
+                step, step_key = job.get_step(task), get_step_key(task)
+                if choose_worker(self.workers.values(), step, step_key, now) is None:
                     break
                 self._mark_stopping(task)
                 task.moves += 1
--- a/src/onyxgap/platform/settings.py
+++ b/src/onyxgap/platform/settings.py
@@ -16,7 +16,7 @@
 TENANTS_CONTRACT = "tenants"
 """Part of the rules under which calls need a tenant's key."""
 CONTENTION_CONTRACT = "pressure"
-"""Part of the rules under which callers compete for room."""
+"""Part of the rules under which callers compete for capacity."""
 
 
 def _parse_lines(text: str) -> dict[str, str]:
--- a/src/onyxgap/standins/emulator/cloud.py
+++ b/src/onyxgap/standins/emulator/cloud.py
@@ -60,7 +60,7 @@
     """All VMs.
 
     :param store: where workers register.
-    :param workers: lives of workers.
+    :param workers: incarnations of workers.
     :param group: runs moves and maintenance.
     :param find_nature: tells what a task does.
     :param rng: draws clocks.
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -48,10 +48,10 @@
 
 
 def test_tenant_over_its_share_has_a_delay_of_its_own() -> None:
-    outlook = DelayEstimate(beyond=LONG_DELAY, over=("large",))
-    assert AdmissionController().check(JOB, outlook, 1, 10.0) is None
+    estimate = DelayEstimate(beyond=LONG_DELAY, over=("large",))
+    assert AdmissionController().check(JOB, estimate, 1, 10.0) is None
     large = attrs.evolve(JOB, tenant="large")
-    assert AdmissionController().check(large, outlook, 1, 10.0) is not None
+    assert AdmissionController().check(large, estimate, 1, 10.0) is not None
 
 
 @pytest.mark.parametrize(
@@ -68,9 +68,11 @@
     )
 
 
-def list_retry_times(gate: AdmissionController, count: int, now: float) -> list[int]:
-    outlook = DelayEstimate(within=LONG_DELAY, job_s=0.05)
-    rejections = [gate.check(JOB, outlook, 10, now) for _ in range(count)]
+def list_retry_times(
+    admission: AdmissionController, count: int, now: float
+) -> list[int]:
+    estimate = DelayEstimate(within=LONG_DELAY, job_s=0.05)
+    rejections = [admission.check(JOB, estimate, 10, now) for _ in range(count)]
     return [item.retry_after_s for item in rejections if item is not None]
 
 
@@ -82,16 +84,16 @@
 
 
 def test_retry_time_starts_over_once_the_backlog_has_drained() -> None:
-    gate = AdmissionController()
-    first = list_retry_times(gate, 6, 10.0)
-    assert list_retry_times(gate, 1, 30.0)[0] == first[0]
+    admission = AdmissionController()
+    first = list_retry_times(admission, 6, 10.0)
+    assert list_retry_times(admission, 1, 30.0)[0] == first[0]
 
 
 def test_delay_estimate_round_trips_through_the_owner_row() -> None:
-    outlook = DelayEstimate(QueueDelay(0.5, 1.5), LONG_DELAY, ("large",), 0.02)
-    row = OwnerRow("n", "b", 3, outlook=encode_delay_estimate(outlook))
+    estimate = DelayEstimate(QueueDelay(0.5, 1.5), LONG_DELAY, ("large",), 0.02)
+    row = OwnerRow("n", "b", 3, outlook=encode_delay_estimate(estimate))
     read = tables.decode_owner(tables.encode_owner(row))
-    assert decode_delay_estimate(read.outlook) == outlook
+    assert decode_delay_estimate(read.outlook) == estimate
     assert encode_delay_estimate(DelayEstimate()) == {}
     assert decode_delay_estimate({}) == DelayEstimate()
 
@@ -104,11 +106,11 @@
         workload.add("large")
     small: list[Job] = [workload.add("small") for _ in range(4)]
     workload.harness.plan()
-    outlook = shard.build_outlook(workload.harness.now)
-    assert outlook.over == ("large",)
+    estimate = shard.build_delay_estimate(workload.harness.now)
+    assert estimate.over == ("large",)
     # the tasks over the share occupy the whole pool for 18 rounds of 0.5 s
-    assert outlook.beyond.in_time_s == pytest.approx(18.9 * RUN_S, rel=0.1)
-    assert outlook.within.in_time_s < 0.6 * RUN_S
+    assert estimate.beyond.in_time_s == pytest.approx(18.9 * RUN_S, rel=0.1)
+    assert estimate.within.in_time_s < 0.6 * RUN_S
     assert all(job.placed_at is not None for job in small)
 
 
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -35,7 +35,7 @@
         0.0,
     )
     record = WorkerRecord(entry, held=rng.random() < 0.9)
-    record.strikes = rng.choice([0, 0, 1])
+    record.first_attempt_failures = rng.choice([0, 0, 1])
     record.due = rng.random() < 0.2
     record.cordoned = rng.random() < 0.1
     record.cpu_used = rng.randrange(0, entry.cpu)
--- a/tests/test_contention_days.py
+++ b/tests/test_contention_days.py
@@ -26,7 +26,7 @@
     assert play(day, seed, faults=2).breaches == []
 
 
-def test_overload_leaves_more_jobs_in_time_than_one_line_does() -> None:
+def test_overload_leaves_more_jobs_in_time_than_a_single_queue_does() -> None:
     plain = [play(extend_day("surge"), seed).account for seed in (1, 2)]
     weighed = [play(extend_day("surge", "contended"), seed).account for seed in (1, 2)]
     in_time = [sum(account.in_time for account in day) for day in (plain, weighed)]
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -202,7 +202,7 @@
     assert number < 5
 
 
-def test_task_that_lost_three_workers_starts_only_beside_settled_tasks(
+def test_task_that_lost_three_workers_starts_only_beside_tasks_past_crash_window(
     harness: ShardHarness,
 ) -> None:
     for name in ("w2", "w3"):
--- a/tests/test_emulated_days.py
+++ b/tests/test_emulated_days.py
@@ -65,7 +65,7 @@
     assert account.in_time >= 0.95 * owed > 0
 
 
-def test_turn_beyond_the_pool_is_served_as_well_as_by_fixed_pools() -> None:
+def test_burst_beyond_the_pool_is_served_as_well_as_by_fixed_pools() -> None:
     # 14 jobs of two steps within 3 s, more than the pool of four VMs holds
     ours = play(load_day("calm"), seed=1)
     fixed = run_virtually(play_day, load_day("calm"), 1, FixedSizer)
@@ -114,7 +114,7 @@
     return [line for line in lines if line["event"] == event]
 
 
-def test_job_starts_while_feeds_hear_nothing() -> None:
+def test_job_starts_while_feeds_deliver_nothing() -> None:
     script = extend_day("short", "at 5 deaf store for 3")
     read = list_events(script, 3, "noticed row read")
     assert len(read) >= 3
@@ -124,7 +124,7 @@
     assert list_events(load_day("short"), 3, "noticed row read") == []
 
 
-def test_shard_of_a_cut_off_owner_is_claimed_before_its_silence_counts() -> None:
+def test_shard_of_a_cut_off_owner_is_claimed_before_the_owner_timeout() -> None:
     script = extend_day("short", "at 6 cut owner ring for 5")
     claims = [
         line["unchanged_s"]
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -321,13 +321,13 @@
 
 
 class FaultyJobApi:
-    """A desk whose every answer fails."""
+    """Job API whose every answer fails."""
 
     def get_max_body_bytes(self) -> int:
         return 100
 
     async def find_route(self, host: str, path: str) -> t.NoReturn:
-        raise RuntimeError("a fault of the desk")
+        raise RuntimeError("a fault of the job API")
 
 
 def test_fault_behind_a_request_is_logged_with_its_path() -> None:
--- a/tests/test_relief.py
+++ b/tests/test_relief.py
@@ -5,7 +5,7 @@
 
 from onyxgap.jobs.members import Member
 from onyxgap.jobs.members import list_large_vm_nodes
-from onyxgap.jobs.ownership import FORMER_SHARD_DELAY_S
+from onyxgap.jobs.ownership import PREVIOUS_SHARD_DELAY_S
 from onyxgap.jobs.ownership import Claimant
 from onyxgap.jobs.ownership import OwnerView
 from onyxgap.jobs.ownership import get_claim_time
@@ -40,13 +40,13 @@
 
 
 def test_node_on_a_small_vm_offers_a_shard_after_the_minimum_time() -> None:
-    policy = ShardOfferPolicy(weak=True)
+    policy = ShardOfferPolicy(small_vm=True)
     assert not policy.should_offer("s", 1, MIN_OWNED_S - 0.1, 100.0)
     assert policy.should_offer("s", 1, MIN_OWNED_S, 100.0)
 
 
 def test_offer_without_a_claim_is_repeated_only_after_a_pause() -> None:
-    policy = ShardOfferPolicy(weak=True)
+    policy = ShardOfferPolicy(small_vm=True)
     times = [100.0 + 0.3 * number for number in range(120)]
     offered = [at for at in times if policy.should_offer("s", 1, 60.0, at)]
     pauses = [later - at for at, later in zip(offered, offered[1:], strict=False)]
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ("yields", "wait_s"), [(False, 0.0), (True, FORMER_SHARD_DELAY_S)]
+    ("yields", "wait_s"), [(False, 0.0), (True, PREVIOUS_SHARD_DELAY_S)]
 )
 def test_small_vm_lets_others_claim_shards_of_its_previous_process_first(
     yields: bool, wait_s: float
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -191,7 +191,7 @@
 
 @attrs.define
 class TenantsJobApi:
-    """Desk double on which every job belongs to tenant ``south``."""
+    """Job API double in which every job belongs to tenant ``south``."""
 
     authentication: Authentication
     submitted: list[Submission] = attrs.field(factory=list)
