--- a/src/onyxgap/cli/__init__.py
+++ b/src/onyxgap/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Command-line interface."""
--- a/src/onyxgap/cli/bill.py
+++ b/src/onyxgap/cli/bill.py
@@ -1,4 +1,4 @@
-"""Tells from the logs of nodes which jobs were not served, why, and what VMs cost."""
+"""Reports late jobs, rejected submissions and use of VM time from the logs of nodes."""
 
 import argparse
 import collections
@@ -16,16 +16,16 @@
 
 EXIT_USAGE = 2
 RECOVERY_S = 2.5
-"""A job that was open this long before or after a claim is billed to it; VMs
-that a new owner's backlog asks for serve some 2 s later."""
-_FAILURES = frozenset({"task ended", "straggler stopped"})
+"""A late job is attributed to a shard claim if it was open within this many seconds
+before or after it. VMs requested for a new owner's backlog serve about 2 s later."""
+_FAILURE_EVENTS = frozenset({"task ended", "straggler stopped"})
 
 
 class Cause(t.NamedTuple):
-    """Why a job was late, and how that is recognized.
+    """Possible cause of a late job, with the check that recognizes it.
 
-    :param name: for the report.
-    :param applies: tells whether it is the cause.
+    :param name: name in the report.
+    :param applies: returns whether it is the cause of a job.
     """
 
     name: str
@@ -34,16 +34,16 @@
 
 @attrs.frozen
 class LateJob:
-    """A job that ended after its objective.
+    """Job that succeeded after its objective had passed.
 
     :param job_id: its id.
     :param queue: its queue.
     :param service: its service.
-    :param ended: seconds since 1970.
+    :param ended: Unix time of its end, in seconds.
     :param took_s: seconds from its acceptance to its end.
-    :param waited_s: seconds to its first start; ``None`` where an earlier owner
-        started it.
-    :param objective_s: seconds in which it should have ended.
+    :param waited_s: seconds from its acceptance to its first start; ``None`` if a
+        previous owner started it.
+    :param objective_s: seconds from its acceptance within which it should have ended.
     """
 
     job_id: str
@@ -56,82 +56,83 @@
 
     @property
     def began(self) -> float:
-        """Seconds since 1970 when it was accepted."""
+        """Unix time of its acceptance, in seconds."""
         return self.ended - self.took_s
 
 
-class Span(t.NamedTuple):
-    """A span of time in seconds since 1970."""
+class Interval(t.NamedTuple):
+    """Interval between two Unix times in seconds."""
 
     start: float
     end: float
 
-    def meets(self, job: LateJob) -> bool:
-        """Tell whether a job was open within the span."""
+    def overlaps(self, job: LateJob) -> bool:
+        """Return whether a job was open during part of the interval."""
         return self.start < job.ended and self.end > job.began
 
 
 @attrs.define
 class Evidence:
-    """What the logs tell beside the jobs.
+    """Events in the logs that may have made jobs late.
 
-    :param outages: spans in which a node had no answer from the store.
-    :param recoveries: spans after a claim, by shard.
-    :param failures: jobs of which a task failed or was lost with its worker.
+    :param outages: intervals in which a node received no answer from the store.
+    :param recoveries: intervals around claims after the first one, by shard.
+    :param failures: ids of jobs with a task that failed, was lost with its worker or
+        was stopped as a straggler.
     """
 
-    outages: list[Span] = attrs.field(factory=list)
-    recoveries: dict[str, list[Span]] = attrs.field(
+    outages: list[Interval] = attrs.field(factory=list)
+    recoveries: dict[str, list[Interval]] = attrs.field(
         factory=lambda: collections.defaultdict(list)
     )
     failures: set[str] = attrs.field(factory=set)
 
 
-def _met_outage(job: LateJob, evidence: Evidence) -> bool:
-    return any(span.meets(job) for span in evidence.outages)
+def _overlaps_outage(job: LateJob, evidence: Evidence) -> bool:
+    return any(interval.overlaps(job) for interval in evidence.outages)
 
 
-def _met_recovery(job: LateJob, evidence: Evidence) -> bool:
-    return any(span.meets(job) for span in evidence.recoveries[job.service])
+def _overlaps_recovery(job: LateJob, evidence: Evidence) -> bool:
+    return any(interval.overlaps(job) for interval in evidence.recoveries[job.service])
 
 
-def _lost_a_run(job: LateJob, evidence: Evidence) -> bool:
+def _had_failed_run(job: LateJob, evidence: Evidence) -> bool:
     return job.job_id in evidence.failures
 
 
-def _waited_for_room(job: LateJob, evidence: Evidence) -> bool:
-    late_s = job.took_s - job.objective_s
-    return job.waited_s is not None and job.waited_s >= late_s
+def _waited_for_capacity(job: LateJob, evidence: Evidence) -> bool:
+    excess_s = job.took_s - job.objective_s
+    return job.waited_s is not None and job.waited_s >= excess_s
 
 
 CAUSES = (
-    Cause("store", _met_outage),
-    Cause("recovery", _met_recovery),
-    Cause("worker", _lost_a_run),
-    Cause("pool too small", _waited_for_room),
+    Cause("store", _overlaps_outage),
+    Cause("recovery", _overlaps_recovery),
+    Cause("worker", _had_failed_run),
+    Cause("pool too small", _waited_for_capacity),
     Cause("run time or order", lambda job, evidence: True),
 )
 
 
 def find_cause(job: LateJob, evidence: Evidence) -> str:
-    """Name the first cause that applies.
+    """Return the name of the first cause that applies.
 
-    :param job: the job.
-    :param evidence: what else happened.
+    :param job: the late job.
+    :param evidence: events that may have made it late.
     """
     return next(cause.name for cause in CAUSES if cause.applies(job, evidence))
 
 
 @attrs.define
 class Bill:
-    """What a day cost and what callers got.
+    """Totals of the period that the logs cover.
 
     :param jobs: jobs that ended, by state.
     :param late: late jobs by cause and queue.
-    :param refused: refused submissions by reason.
+    :param refused: rejected submissions by reason.
     :param vm_s: VM seconds by how they were used.
-    :param moves: moves of VMs.
-    :param lost_lines: lines that nodes dropped, of which nothing is billed.
+    :param moves: moves of VMs between pools.
+    :param lost_lines: log lines that nodes dropped; the totals lack their events.
     """
 
     jobs: collections.Counter[str] = attrs.field(factory=collections.Counter)
@@ -145,15 +146,15 @@
 
 
 def parse_time(text: str) -> float:
-    """Read a timestamp as seconds since 1970.
+    """Convert a timestamp to Unix time in seconds.
 
-    :param text: ISO 8601.
-    :raises ValueError: when it has another form.
+    :param text: timestamp in ISO 8601 format.
+    :raises ValueError: if it is malformed.
     """
     return datetime.datetime.fromisoformat(text).timestamp()
 
 
-def _read_late(line: LogLine) -> LateJob | None:
+def _parse_late_job(line: LogLine) -> LateJob | None:
     fields = line.fields
     objective_s = fields.get("objective_s")
     if fields.get("state") != "succeeded" or objective_s is None:
@@ -172,49 +173,49 @@
 
 
 def collect_evidence(lines: t.Iterable[LogLine]) -> Evidence:
-    """Collect what may have made jobs late.
+    """Collect the events that may have made jobs late.
 
-    :param lines: lines of all nodes.
+    :param lines: log lines of all nodes.
     """
     evidence = Evidence()
     for line in lines:
         if line.fields["event"] == DROPPED_EVENT:
-            # earlier versions wrote it without a time
+            # Earlier versions wrote this event without a timestamp.
             continue
         event, at = line.fields["event"], parse_time(line.at)
         if event == "store regained":
-            evidence.outages.append(Span(at - line.fields["away_s"], at))
+            evidence.outages.append(Interval(at - line.fields["away_s"], at))
         elif event == "shard claimed" and line.fields["epoch"] > 1:
-            span = Span(at - RECOVERY_S, at + RECOVERY_S)
-            evidence.recoveries[line.fields["shard"]].append(span)
-        elif event in _FAILURES and line.fields.get("kind") != "stopped":
+            interval = Interval(at - RECOVERY_S, at + RECOVERY_S)
+            evidence.recoveries[line.fields["shard"]].append(interval)
+        elif event in _FAILURE_EVENTS and line.fields.get("kind") != "stopped":
             evidence.failures.add(line.fields["task"].partition(".")[0])
     return evidence
 
 
-def _bill_sizes(bill: Bill, lines: t.Sequence[LogLine]) -> None:
-    """Bill the VM seconds between each choice of sizes and the next one."""
+def _add_vm_seconds(bill: Bill, lines: t.Sequence[LogLine]) -> None:
+    """Add the VM seconds between each choice of pool sizes and the next one."""
     chosen = [line for line in lines if line.fields["event"] == "pool sizes chosen"]
-    had_turn: set[str] = set()
+    had_burst: set[str] = set()
     for line, later in zip(chosen, chosen[1:], strict=False):
-        span_s = parse_time(later.at) - parse_time(line.at)
+        interval_s = parse_time(later.at) - parse_time(line.at)
         busy, needs = line.fields["busy"], line.fields["needs"]
-        had_turn.update(busy)
+        had_burst.update(busy)
         for pool, vms in line.fields["sizes"].items():
             needed = min(float(needs.get(pool, 0.0)), vms)
             idle = "in a turn" if pool in busy else "before the first turn"
-            if pool not in busy and pool in had_turn:
+            if pool not in busy and pool in had_burst:
                 idle = "between turns"
-            bill.vm_s["needed"] += needed * span_s
-            bill.vm_s[f"idle {idle}"] += (vms - needed) * span_s
+            bill.vm_s["needed"] += needed * interval_s
+            bill.vm_s[f"idle {idle}"] += (vms - needed) * interval_s
 
 
 def make_bill(lines: t.Sequence[LogLine]) -> Bill:
-    """Sum up what the logs tell.
+    """Compute the totals of the logs.
 
-    :param lines: lines of all nodes, in order of time.
-    :raises KeyError, TypeError, ValueError: when a line lacks a field or has one of
-        another type.
+    :param lines: log lines of all nodes, in order of time.
+    :raises KeyError, TypeError, ValueError: if a line lacks a field or a field has
+        the wrong type.
     """
     evidence = collect_evidence(lines)
     bill = Bill()
@@ -222,7 +223,7 @@
         event = line.fields["event"]
         if event == "job ended":
             bill.jobs[str(line.fields["state"])] += 1
-            late = _read_late(line)
+            late = _parse_late_job(line)
             if late is not None:
                 bill.late[find_cause(late, evidence), late.queue] += 1
         elif event == "submission answered":
@@ -233,36 +234,36 @@
             bill.moves += 1
         elif event == DROPPED_EVENT:
             bill.lost_lines += int(line.fields["count"])
-    _bill_sizes(bill, lines)
+    _add_vm_seconds(bill, lines)
     return bill
 
 
 def render_bill(bill: Bill) -> str:
-    """Render a bill for people.
+    """Render a bill as text.
 
-    :param bill: the bill.
+    :param bill: the totals.
     """
     lines = ["jobs ended"]
     lines += [f"  {state:32s}{count:8d}" for state, count in sorted(bill.jobs.items())]
-    lines.append("late, by cause and queue")
+    lines.append("late jobs, by cause and queue")
     lines += [
         f"  {cause:20s}{queue:12s}{count:8d}"
         for (cause, queue), count in bill.late.most_common()
     ]
-    lines.append("not accepted, by reason")
+    lines.append("submissions not accepted, by reason")
     lines += [f"  {reason:32s}{count:8d}" for reason, count in bill.refused.items()]
-    lines.append("VM seconds in pools")
+    lines.append("VM seconds in pools, by use")
     lines += [f"  {use:32s}{vm_s:8.0f}" for use, vm_s in sorted(bill.vm_s.items())]
     lines.append(f"moves of VMs{bill.moves:22d}")
     if bill.lost_lines:
-        lines.append(f"not billed: {bill.lost_lines} lines that nodes dropped")
+        lines.append(f"not counted: {bill.lost_lines} log lines dropped by nodes")
     return "\n".join(lines)
 
 
 def describe_bill(bill: Bill) -> dict[str, t.Any]:
-    """Give a bill as plain data for JSON.
+    """Convert a bill to plain data for JSON.
 
-    :param bill: the bill.
+    :param bill: the totals.
     """
     return {
         "jobs": dict(bill.jobs),
@@ -286,9 +287,10 @@
 
 
 async def run_bill(arguments: argparse.Namespace) -> int:
-    """Print the bill of the logs that the command line names.
+    """Print the bill of the log files given as arguments.
 
-    :returns: 0, or 2 with one line of reason where the logs cannot be used.
+    :param arguments: parsed arguments.
+    :returns: 0, or 2 after a one-line error if the logs cannot be used.
     """
     try:
         lines = _read_logs(arguments.logs)
@@ -297,10 +299,10 @@
         print(f"{error.filename}: {error.strerror}", file=sys.stderr)
         return EXIT_USAGE
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        print(f"a line of the logs cannot be read: {error!r}", file=sys.stderr)
+        print(f"log line lacks a field or is malformed: {error!r}", file=sys.stderr)
         return EXIT_USAGE
     if not lines:
-        print("no line of a node in these logs", file=sys.stderr)
+        print("the files contain no log line of a node", file=sys.stderr)
         return EXIT_USAGE
     if arguments.json:
         print(orjson.dumps(describe_bill(bill)).decode())
