--- a/src/onyxgap/cli/commands.py
+++ b/src/onyxgap/cli/commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands: tables for people, JSON for machines."""
+"""Operators' commands, which print tables or JSON."""
 
 import argparse
 import contextlib
@@ -31,7 +31,7 @@
 
 @contextlib.asynccontextmanager
 async def connect(arguments: argparse.Namespace) -> t.AsyncIterator[PlatformClient]:
-    """Open a client of the platform for one command.
+    """Connect to the platform for the duration of one command.
 
     :param arguments: parsed arguments.
     """
@@ -45,9 +45,9 @@
 def print_table(
     headings: t.Sequence[str], rows: t.Iterable[t.Sequence[object]]
 ) -> None:
-    """Print rows under headings, in columns.
+    """Print a table with aligned columns.
 
-    :param headings: one a column.
+    :param headings: headings of the columns.
     :param rows: cells of each row.
     """
     cells = [list(map(str, row)) for row in (headings, *rows)]
@@ -64,8 +64,9 @@
 def read_manifest(path: str) -> Manifest:
     """Read and check a manifest file.
 
-    :param path: the file.
-    :raises DocumentError: with every fault and its JSON path.
+    :param path: path of the file.
+    :raises DocumentError: if it cannot be read or is invalid; lists every problem
+        with its JSON path.
     """
     try:
         text = pathlib.Path(path).read_bytes()
@@ -75,7 +76,12 @@
 
 
 async def run_check(arguments: argparse.Namespace) -> int:
-    """Check a manifest offline."""
+    """Check a manifest offline.
+
+    :param arguments: parsed arguments.
+    :returns: 0, or 2 if ``--json`` is given and the manifest is invalid.
+    :raises DocumentError: if the manifest is invalid and ``--json`` is not given.
+    """
     try:
         manifest = read_manifest(arguments.manifest)
     except DocumentError as error:
@@ -92,7 +98,14 @@
 
 
 async def run_apply(arguments: argparse.Namespace) -> int:
-    """Have a manifest accepted, and wait for its roll-out if asked to."""
+    """Apply a manifest; with ``--wait``, also wait for its roll-out.
+
+    :param arguments: parsed arguments.
+    :returns: 0, or 1 if no process is running or the roll-out does not end within
+        ``--timeout-s``.
+    :raises DocumentError: if the manifest is invalid.
+    :raises ConflictError: if another version is current.
+    """
     manifest = read_manifest(arguments.manifest)
     async with connect(arguments) as platform:
         version = await operations.apply_manifest(
@@ -104,34 +117,41 @@
             print(f"version {version} accepted")
         if not arguments.wait:
             return 0
-        return await _follow_roll_out(platform, arguments.timeout_s)
+        return await _wait_for_roll_out(platform, arguments.timeout_s)
 
 
-async def _follow_roll_out(platform: PlatformClient, timeout_s: float) -> int:
+async def _wait_for_roll_out(platform: PlatformClient, timeout_s: float) -> int:
     sequence = (await operations.load_state(platform)).sequence
     if not await operations.list_members(platform, sequence):
-        print("no process of the system is running", file=sys.stderr)
+        print("no entry or control process is running", file=sys.stderr)
         return 1
-    shown: set[str] | None = None
+    reported: set[str] | None = None
     with anyio.move_on_after(timeout_s):
         while True:
             lagging = await operations.list_lagging(platform, sequence)
             names = {item.name for item in lagging}
             if not names:
-                print("in force on every entry")
+                print("applied by all entry processes")
                 return 0
-            if names != shown:
+            if names != reported:
                 print(f"waiting for {', '.join(sorted(names))}")
-                shown = names
+                reported = names
             await anyio.sleep(WAIT_POLL_S)
     for item in await operations.list_lagging(platform, sequence):
-        reason = f"{item.name} is {item.behind} entries behind; its row still stands"
+        reason = (
+            f"{item.name} is {item.behind} journal entries behind"
+            " and its member row has not expired"
+        )
         print(reason, file=sys.stderr)
     return 1
 
 
 async def run_status(arguments: argparse.Namespace) -> int:
-    """Show what is in force where."""
+    """Print the current version, the pools and how far each process is.
+
+    :param arguments: parsed arguments.
+    :returns: the exit code.
+    """
     async with connect(arguments) as platform:
         state = await operations.load_state(platform)
         members = await operations.list_members(platform, state.sequence)
@@ -159,10 +179,10 @@
     return 0
 
 
-async def _look(platform: PlatformClient, state: FleetState) -> View:
+async def _observe_fleet(platform: PlatformClient, state: FleetState) -> View:
     vm_list = await platform.list_vms()
     now = anyio.current_time()
-    # one list decides here: the command looks once and goes
+    # The command reads only one list, so one list without a VM makes it missing.
     observer = Observer(needed=1)
     observer.take(vm_list, state.vms.keys(), now)
     return View(
@@ -175,10 +195,14 @@
 
 
 async def run_report(arguments: argparse.Namespace) -> int:
-    """Show what cannot be brought in line and why, and the plan's measures."""
+    """Print what cannot be reconciled and why, and the costs of the maintenance plan.
+
+    :param arguments: parsed arguments.
+    :returns: 1 if anything cannot be reconciled, else 0.
+    """
     async with connect(arguments) as platform:
         state = await operations.load_state(platform)
-        view = await _look(platform, state)
+        view = await _observe_fleet(platform, state)
         listed = {task.attempt: task for task in await platform.list_tasks()}
     steps = plan_pass(list_pools(state), view, listed)
     reports = [report for step in steps for report in step.reports]
@@ -200,7 +224,11 @@
 
 
 async def run_audit(arguments: argparse.Namespace) -> int:
-    """Show who changed what."""
+    """Print the entries of the journal with their authors.
+
+    :param arguments: parsed arguments.
+    :returns: the exit code.
+    """
     async with connect(arguments) as platform:
         entries = await operations.list_audit(platform)
     if arguments.json:
@@ -214,7 +242,11 @@
 
 
 async def run_explain(arguments: argparse.Namespace) -> int:
-    """Show the life of a VM, task, attempt or pool in order."""
+    """Print the history of a VM, task, attempt or pool in order.
+
+    :param arguments: parsed arguments.
+    :returns: 0, or 1 if no journal entry mentions the subject.
+    """
     async with connect(arguments) as platform:
         entries = await operations.list_audit(platform)
         state = await operations.load_state(platform)
--- a/src/onyxgap/cli/nodes.py
+++ b/src/onyxgap/cli/nodes.py
@@ -1,4 +1,4 @@
-"""Commands of a node on the users' platform, and of experiments with it."""
+"""Commands that run a node, and experiments on the emulated platform."""
 
 import argparse
 
@@ -12,19 +12,28 @@
 
 
 async def run_platform_node(arguments: argparse.Namespace) -> int:
-    """Run a node on the users' platform."""
-    from ..daemons.node_process import run_node_process  # experiments need none
+    """Run a node on the users' platform.
+
+    :param arguments: parsed arguments.
+    :returns: the exit code.
+    :raises DocumentError: if no settings file is given or it is invalid.
+    """
+    from ..daemons.node_process import run_node_process  # not needed by experiments
 
     if not arguments.settings:
         raise DocumentError([Fault("--settings", f"or {PATH_VARIABLE} is required")])
-    lines = configure_bounded_logs(arguments.log_level)
-    port = arguments.metrics_port
-    return await run_node_process(arguments.settings, lines, port)
+    bounded_lines = configure_bounded_logs(arguments.log_level)
+    metrics_port = arguments.metrics_port
+    return await run_node_process(arguments.settings, bounded_lines, metrics_port)
 
 
 async def run_experiment_process(arguments: argparse.Namespace) -> int:
-    """Play days of the emulated platform in virtual time."""
-    # the virtual clock needs libraries of the development extra
+    """Run a script on the emulated platform in virtual time.
+
+    :param arguments: parsed arguments.
+    :returns: 1 if a rule was broken under the default policy, else 0.
+    """
+    # Imported here: the virtual clock needs libraries of the development extra.
     from ..standins.emulator.experiment import run_experiment
 
     configure_logs("error", member="experiment")
--- a/src/onyxgap/cli/processes.py
+++ b/src/onyxgap/cli/processes.py
@@ -1,4 +1,4 @@
-"""Commands that run a process until it is told to stop."""
+"""Commands that run entry and control processes, stand-ins and the demo."""
 
 import argparse
 import pathlib
@@ -23,32 +23,44 @@
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with anyio.create_task_group() as group:
 
-            async def watch() -> None:
+            async def set_stop_on_signal() -> None:
                 async for _ in signals:
                     stop.set()
 
-            group.start_soon(watch)
+            group.start_soon(set_stop_on_signal)
             await run(stop)
             group.cancel_scope.cancel()
     return 0
 
 
 async def run_entry_process(arguments: argparse.Namespace) -> int:
-    """Run an entry process."""
+    """Run an entry process until SIGTERM or SIGINT.
+
+    :param arguments: parsed arguments.
+    :returns: the exit code.
+    """
     settings = load_settings(arguments.settings)
     configure_logs(settings.log_level, member=settings.member)
     return await _run_until_signal(lambda stop: run_entry(settings, stop))
 
 
 async def run_control_process(arguments: argparse.Namespace) -> int:
-    """Run a control process."""
+    """Run a control process until SIGTERM or SIGINT.
+
+    :param arguments: parsed arguments.
+    :returns: the exit code.
+    """
     settings = load_settings(arguments.settings)
     configure_logs(settings.log_level, member=settings.member)
     return await _run_until_signal(lambda stop: run_control(settings, stop))
 
 
 async def run_platform_process(arguments: argparse.Namespace) -> int:
-    """Run the stand-in platform."""
+    """Run the in-memory platform behind its HTTP interface.
+
+    :param arguments: parsed arguments.
+    :returns: the exit code.
+    """
     configure_logs("info", member="platform")
     fleet = load_fleet(pathlib.Path(arguments.fleet).read_bytes())
     listen = arguments.listen
@@ -60,7 +72,11 @@
 
 
 async def run_target_process(arguments: argparse.Namespace) -> int:
-    """Run stand-in targets, one for each VM of the fleet."""
+    """Run a stand-in target for each selected VM of the fleet file.
+
+    :param arguments: parsed arguments.
+    :returns: the exit code.
+    """
     configure_logs("info", member="target")
     fleet = load_fleet(pathlib.Path(arguments.fleet).read_bytes())
     names = arguments.vm or list(fleet)
@@ -76,8 +92,12 @@
 
 
 async def run_demo_process(arguments: argparse.Namespace) -> int:
-    """Run the demo."""
-    from ..demo import run_demo  # the demo's parts are not needed elsewhere
+    """Run the demo.
+
+    :param arguments: parsed arguments.
+    :returns: the exit code.
+    """
+    from ..demo import run_demo  # not needed by other commands
 
     configure_logs("info" if arguments.verbose else "error", member="demo")
     return await run_demo(arguments.example)
--- a/src/onyxgap/cli/tracing.py
+++ b/src/onyxgap/cli/tracing.py
@@ -1,4 +1,4 @@
-"""Puts the log lines of several nodes about one subject in order."""
+"""Merges the log lines of several nodes about one subject in order of time."""
 
 import argparse
 import json
@@ -13,17 +13,17 @@
 EVENT_FIELD = "event"
 WORKER_FIELD = "worker"
 HIDDEN_FIELDS = frozenset({TIME_FIELD, EVENT_FIELD, "level"})
-EXIT_NOTHING = 1
-SHOWN_ITEMS = 4
-"""Items of a list that are shown in full."""
+EXIT_FAILURE = 1
+MAX_LIST_ITEMS = 4
+"""Longest list that is printed in full."""
 
 
 @attrs.frozen
 class LogLine:
-    """One line of a node's log.
+    """Structured log line of a node.
 
-    :param at: its timestamp.
-    :param source: file, and what stands before the JSON text.
+    :param at: its timestamp, as text.
+    :param source: file name and the text before the JSON object.
     :param fields: its fields.
     """
 
@@ -32,20 +32,26 @@
     fields: dict[str, t.Any]
 
     def mentions(self, subject: str) -> bool:
-        """Tell whether any field is the subject, or a part of it such as a task."""
-        return any(_is_about(value, subject) for value in self.fields.values())
+        """Return whether a field names the subject or a part of it, such as a task.
 
+        :param subject: id of a job, task, worker, VM or shard.
+        """
+        return any(_refers_to(value, subject) for value in self.fields.values())
 
-def _is_about(value: t.Any, subject: str) -> bool:
+
+def _refers_to(value: t.Any, subject: str) -> bool:
     if isinstance(value, list):
-        return any(_is_about(item, subject) for item in value)
+        return any(_refers_to(item, subject) for item in value)
     if not isinstance(value, str):
         return False
     return value == subject or value.startswith(f"{subject}.")
 
 
 def parse_lines(source: str, text: str) -> t.Iterator[LogLine]:
-    """Read the JSON lines of a log; what stands before the brace is kept.
+    """Parse the JSON lines of a log and skip all others.
+
+    Text before the JSON object, such as a prefix with the name of a node, becomes
+    part of the source of the line.
 
     :param source: name of the file.
     :param text: its content.
@@ -57,27 +63,27 @@
         except ValueError:
             continue
         if isinstance(fields, dict) and EVENT_FIELD in fields:
-            place = " ".join([source, *prefix.split()])
-            yield LogLine(str(fields.get(TIME_FIELD, "")), place, fields)
+            line_source = " ".join([source, *prefix.split()])
+            yield LogLine(str(fields.get(TIME_FIELD, "")), line_source, fields)
 
 
 def select_lines(lines: t.Sequence[LogLine], subject: str) -> list[LogLine]:
-    """Select what concerns a subject, in order of time.
+    """Select the lines about a subject, in order of time.
 
-    Lines about the workers that ran it belong to it, from its first line to its
-    last one.
+    Lines about the workers that ran it are included if they were written between its
+    first and its last line and name no task.
 
-    :param lines: lines of all nodes.
+    :param lines: log lines of all nodes.
     :param subject: id of a job, task, worker, VM or shard.
     """
-    own = sorted(
+    matching = sorted(
         (line for line in lines if line.mentions(subject)), key=lambda line: line.at
     )
-    if not own:
+    if not matching:
         return []
-    workers = {line.fields.get(WORKER_FIELD) for line in own} - {None}
-    first, last = own[0].at, own[-1].at
-    beside = [
+    workers = {line.fields.get(WORKER_FIELD) for line in matching} - {None}
+    first, last = matching[0].at, matching[-1].at
+    worker_lines = [
         line
         for line in lines
         if line.fields.get(WORKER_FIELD) in workers
@@ -85,22 +91,22 @@
         and not line.fields.keys() & {"task", "tasks"}
         and not line.mentions(subject)
     ]
-    return sorted([*own, *beside], key=lambda line: line.at)
+    return sorted([*matching, *worker_lines], key=lambda line: line.at)
 
 
 def _shorten(value: t.Any, subject: str) -> t.Any:
-    """Leave of a long list what is about the subject, and the number of the others."""
-    if not isinstance(value, list) or len(value) <= SHOWN_ITEMS:
+    """Reduce a long list to the items about the subject and the number of others."""
+    if not isinstance(value, list) or len(value) <= MAX_LIST_ITEMS:
         return value
-    own = [item for item in value if _is_about(item, subject)]
-    return [*own, f"and {len(value) - len(own)} others"]
+    matching = [item for item in value if _refers_to(item, subject)]
+    return [*matching, f"and {len(value) - len(matching)} others"]
 
 
 def render_line(line: LogLine, subject: str = "") -> str:
-    """Render a line for people.
+    """Render a log line as text.
 
     :param line: the line.
-    :param subject: whom it is shown for, so that long lists can be shortened.
+    :param subject: id that long lists are shortened to; if empty, they are kept.
     """
     shown = {
         key: _shorten(value, subject) if subject else value
@@ -112,7 +118,11 @@
 
 
 async def run_trace(arguments: argparse.Namespace) -> int:
-    """Print what the logs say of a subject."""
+    """Print the log lines about a subject.
+
+    :param arguments: parsed arguments.
+    :returns: 0, or 1 if a file cannot be read or no line mentions the subject.
+    """
     lines: list[LogLine] = []
     for name in arguments.logs:
         path = pathlib.Path(name)
@@ -120,12 +130,12 @@
             lines += parse_lines(path.name, path.read_text(errors="replace"))
         except OSError as error:
             print(f"{name}: {error.strerror}", file=sys.stderr)
-            return EXIT_NOTHING
+            return EXIT_FAILURE
     selected = select_lines(lines, arguments.subject)
     for line in selected:
         text = render_line(line, arguments.subject)
         print(json.dumps(line.fields) if arguments.json else text)
     if not selected:
-        print(f"no line mentions {arguments.subject}", file=sys.stderr)
-        return EXIT_NOTHING
+        print(f"no log line mentions {arguments.subject}", file=sys.stderr)
+        return EXIT_FAILURE
     return 0
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -1,4 +1,4 @@
-"""The life of a job from the logs of several nodes."""
+"""Tests of ``explain --logs``, which merges log lines of several nodes about a job."""
 
 import argparse
 import pathlib
@@ -12,14 +12,14 @@
 from onyxgap.cli.tracing import run_trace
 from onyxgap.cli.tracing import select_lines
 
-FIRST = """\
+FIRST_LOG = """\
   1.0 node-1 {"event":"submission answered","job":"aa11","timestamp":"T1"}
 no json at all
 {"event":"worker silent","worker":"w1","timestamp":"T3"}
 {"event":"worker silent","worker":"w1","timestamp":"T9"}
 {"event":"worker silent","worker":"w2","timestamp":"T3"}
 """
-SECOND = """\
+SECOND_LOG = """\
 {"event":"task ended","task":"aa11.0.0.1","worker":"w1","timestamp":"T4"}
 {"event":"task ended","task":"bb22.0.0.1","worker":"w1","timestamp":"T4"}
 {"event":"tasks done","tasks":["bb22.0.0.0","aa11.0.0.2"],"timestamp":"T6"}
@@ -28,8 +28,8 @@
 """
 
 
-def test_lines_of_a_job_and_of_its_workers_come_in_order() -> None:
-    lines = [*parse_lines("b", SECOND), *parse_lines("a", FIRST)]
+def test_lines_of_a_job_and_of_its_workers_are_merged_in_order() -> None:
+    lines = [*parse_lines("b", SECOND_LOG), *parse_lines("a", FIRST_LOG)]
     events = [line.fields["event"] for line in select_lines(lines, "aa11")]
     assert events == [
         "submission answered",
@@ -41,11 +41,11 @@
     assert select_lines(lines, "cc33") == []
 
 
-def test_command_reads_files_and_reports_nothing_found(
+def test_command_prints_lines_and_fails_if_none_is_found(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "node-1.log"
-    path.write_text(FIRST)
+    path.write_text(FIRST_LOG)
     arguments = build_parser().parse_args(["explain", "aa11", "--logs", str(path)])
     assert isinstance(arguments, argparse.Namespace)
     assert anyio.run(run_trace, arguments) == 0
@@ -54,10 +54,10 @@
     assert anyio.run(run_trace, arguments) == 1
 
 
-def test_long_lists_are_shortened_to_the_subject() -> None:
-    others = ", ".join(f'"bb22.0.0.{number}"' for number in range(9))
-    text = f'{{"event":"tasks done","tasks":["aa11.0.0.2", {others}]}}'
+def test_long_list_is_reduced_to_items_about_the_subject() -> None:
+    other_tasks = ", ".join(f'"bb22.0.0.{number}"' for number in range(9))
+    text = f'{{"event":"tasks done","tasks":["aa11.0.0.2", {other_tasks}]}}'
     (line,) = parse_lines("a", text)
-    shown = render_line(line, "aa11")
-    assert '"aa11.0.0.2", "and 9 others"' in shown
+    rendered = render_line(line, "aa11")
+    assert '"aa11.0.0.2", "and 9 others"' in rendered
     assert "bb22.0.0.8" in render_line(line)
