--- a/src/onyxgap/daemons/authentication.py
+++ b/src/onyxgap/daemons/authentication.py
@@ -47,7 +47,8 @@
     ) -> Caller | KeyRejection | Unavailable:
         """Identify the caller of a queue.
 
-        An unknown key is rejected only after the newest configuration has been read.
+        An unknown key is rejected only if the configuration's row was read within the
+        last second (``READ_VALID_S``).
 
         :param route: route of the queue.
         :param keys: all keys sent with the call.
--- a/src/onyxgap/daemons/desk.py
+++ b/src/onyxgap/daemons/desk.py
@@ -98,7 +98,8 @@
     async def find_route(self, host: str, path: str) -> Route | None | Unavailable:
         """Find the route of a request, ``None`` if there is none.
 
-        A missing route is reported only after the newest configuration has been read.
+        A missing route is reported only if the configuration's row was read within the
+        last second (``READ_VALID_S``).
         """
         if self.routes.configuration is None:
             return Unavailable.CONFIGURATION
--- a/src/onyxgap/daemons/fence.py
+++ b/src/onyxgap/daemons/fence.py
@@ -31,7 +31,7 @@
     """Writes rows of one shard while this process owns it.
 
     :param shard: the shard.
-    :param owner: the owner row as it was claimed.
+    :param owner: the owner row as last put into a write; at first as it was claimed.
     :param version: expected version of the fence row.
     :param nonce: last known value of the fence row, unique to each write.
     :param store: the store.
--- a/src/onyxgap/daemons/fleet_controller.py
+++ b/src/onyxgap/daemons/fleet_controller.py
@@ -43,7 +43,8 @@
 VM_LIST_INTERVAL_S = 0.5
 """Pause between two reads of the VM list; a move or maintenance takes 1.5 s or more."""
 HOLDER_PAUSE_MARGIN_S = 0.7
-"""Added to the pause between orders of two controllers for a VM: calls in flight."""
+"""Added to the pause between orders of two controllers about one VM, since calls of the
+first may still be in flight."""
 MAX_SEND_DELAY_S = 0.8
 """Longest time between the start of the write that permits an order and its sending.
 After it, the order is not sent: a process that was suspended may have a successor."""
--- a/src/onyxgap/daemons/owner_workers.py
+++ b/src/onyxgap/daemons/owner_workers.py
@@ -58,14 +58,14 @@
 registration every 1.5 s, so that one read brings several changes. A VM that joins the
 pool waits this long at most."""
 CHECK_MARGIN = 1.1
-"""Factor by which the checks of a run come later than its crash windows end, since
-worker clocks may be 2% slow."""
+"""Factor by which a run is checked later than :data:`START_CRASH_WINDOW_MS` and
+:data:`CRASH_WINDOW_MS` require, since worker clocks may be 2% slow."""
 START_CRASH_CHECK_S = START_CRASH_WINDOW_MS / MS_PER_S * CHECK_MARGIN
-"""Time until an isolated run is checked for the first time, after its start-crash
-window."""
+"""Time until an isolated run is checked for the first time, after
+:data:`START_CRASH_WINDOW_MS`."""
 CRASH_CHECK_S = (CRASH_WINDOW_MS - START_CRASH_WINDOW_MS) / MS_PER_S * CHECK_MARGIN
-"""Time from the first check to the second, after the crash window, which clears the
-task of earlier crashes."""
+"""Time from the first check to the second, after :data:`CRASH_WINDOW_MS`, which clears
+the task of earlier crashes."""
 CAPACITY_MARGIN_S = 1.0
 """Added to the heartbeat interval to get the time for which the capacity in a
 registration may be relied on. After it, a worker that does not reject tasks that do not
@@ -227,9 +227,9 @@
         return self.loaded and bool(self.state.list_silent())
 
     def apply_live_workers(self, live: t.Collection[str], sent_at: float) -> None:
-        """Release the runs of silent workers whose VMs are not up.
+        """Remove silent workers that the platform's list of VMs does not show as up.
 
-        :param live: workers of VMs that are up.
+        :param live: ids of the workers of VMs that are up.
         :param sent_at: monotonic seconds when the list of VMs was requested.
         """
         self.state.apply_live_workers(live, sent_at)
@@ -287,8 +287,9 @@
         await self.context.workers.forget(worker_id)
 
     async def _check_isolated_run(self, order: StartOrder) -> None:
-        """Check whether a worker survives an isolated run, after each crash window.
+        """Check whether a worker survives an isolated run.
 
+        Checks after :data:`START_CRASH_WINDOW_MS` and after :data:`CRASH_WINDOW_MS`.
         The hold request that waits at the worker would tell up to a second later. Until
         the checks have passed, no task of another job is started there, and the task is
         blamed for a crash with another cause.
--- a/src/onyxgap/daemons/retention.py
+++ b/src/onyxgap/daemons/retention.py
@@ -1,4 +1,4 @@
-"""Removal of expired claims and of rows of processes that are gone."""
+"""Removes expired claims, a page at a time, and rows of processes that are gone."""
 
 import attrs
 import structlog
@@ -19,8 +19,9 @@
 
 @attrs.define
 class Sweeper:
-    """Removes expired claims on idempotency keys and rows of members that timed out.
+    """Removes expired claims on idempotency keys and rows of forgotten members.
 
+    A member is forgotten once it has been silent for longer than ``MEMBER_FORGET_S``.
     Each deletion is conditional on the version that was read, so a row that has
     changed since then is kept.
 
--- a/src/onyxgap/daemons/vm_watch.py
+++ b/src/onyxgap/daemons/vm_watch.py
@@ -27,9 +27,9 @@
         """Tell whether any worker is silent."""
 
     def apply_live_workers(self, live: t.Collection[str], sent_at: float) -> None:
-        """Release the runs of silent workers whose VMs are not up.
+        """Remove silent workers that the platform's list of VMs does not show as up.
 
-        :param live: workers of VMs that are up.
+        :param live: ids of the workers of VMs that are up.
         :param sent_at: monotonic seconds when the list was requested.
         """
 
--- a/src/onyxgap/jobs/candidates.py
+++ b/src/onyxgap/jobs/candidates.py
@@ -126,8 +126,8 @@
     def note_unplaceable(self, step: Step) -> None:
         """Record that no worker has capacity for a step.
 
-        Ignores steps with placement constraints, which may not be placed for other
-        reasons.
+        Ignores steps with placement constraints: such a step may be refused although a
+        worker has capacity for it.
         """
         if not step.requires and not step.anti_affinity:
             self._unplaceable.append(step)
--- a/src/onyxgap/jobs/crashes.py
+++ b/src/onyxgap/jobs/crashes.py
@@ -18,8 +18,8 @@
 START_CRASH_WINDOW_MS = 100.0
 """Time on a worker after which the start of a run is known not to have crashed it."""
 CRASH_WINDOW_MS = 300.0
-"""Time on a worker after which a run clears its task of earlier crashes. A fully
-isolated task has its worker to itself for that time."""
+"""Time on a worker after which a run clears its task of earlier crashes. While a fully
+isolated task is younger than this, no task of another job is started on its worker."""
 START_CRASH_BLAME = 2
 """Blame if only one job had runs that had just started when the worker crashed."""
 LATE_CRASH_BLAME = 1
--- a/src/onyxgap/jobs/job.py
+++ b/src/onyxgap/jobs/job.py
@@ -38,7 +38,7 @@
     :param percent: share of the work that is done according to the last report.
     :param measurement: figure of the last report; see :class:`RunningTask`.
     :param started_at: monotonic seconds when the start order was placed or sent, 0 for
-        an order of a previous owner.
+        an order of a previous owner or to a previous incarnation of the worker.
     :param sent: whether the start order was sent; it is stored before that.
     :param start_deadline_ms: deadline of the start order, on the worker's clock.
     :param confirmed_at: monotonic seconds when the run was first known to be on its
--- a/src/onyxgap/jobs/priorities.py
+++ b/src/onyxgap/jobs/priorities.py
@@ -40,7 +40,9 @@
     :param standing: whether the job can still end in time.
     :param priority: priority of the queue, 0 first.
     :param latest_start: monotonic seconds by which the step must start to keep this
-        standing; for an expired job, the latest start that would have been useful.
+        standing; for an expired job, the latest start that would have been useful. With
+        :class:`DeclaredForecast`, a late job keeps the latest start that would have met
+        its objective.
     """
 
     standing: Timeliness
@@ -105,7 +107,10 @@
     """Uses declared run times; late jobs never expire."""
 
     def justifies_more_vms(self, urgency: Urgency, now: float) -> bool:
-        """Select steps that can be in time; late ones get the remaining capacity."""
+        """Tell whether a step can be in time but is short of slack.
+
+        Late steps get the remaining capacity.
+        """
         return _lacks_slack(urgency, now)
 
     def rate(self, job: Job, step: int, now: float) -> Urgency:
@@ -134,7 +139,7 @@
     run_times: RunTimes
 
     def justifies_more_vms(self, urgency: Urgency, now: float) -> bool:
-        """Select steps that are short of slack, and late ones that are still useful.
+        """Tell whether a step is short of slack, or late but still useful.
 
         Where callers compete, a backlog that requests no VMs is never worked off while
         another pool keeps the VMs of its last burst.
--- a/src/onyxgap/jobs/progress.py
+++ b/src/onyxgap/jobs/progress.py
@@ -3,8 +3,8 @@
 import attrs
 
 MIN_INTERVAL_S = 0.6
-"""Least interval for a measurement of speed. Workers report whole percents; half a
-second of a task of 2 s is 25 of them."""
+"""Least interval for a measurement of speed. Workers report whole percents, so a
+shorter interval gives a coarse value: half a second of a task of 2 s is 25 percent."""
 RESTORE_S = 0.7
 """Time that a run gets to restore a checkpoint. It makes no progress for 0.6 s
 according to the bounds of the sites seen; where restoring takes longer, a run is
--- a/src/onyxgap/jobs/ready.py
+++ b/src/onyxgap/jobs/ready.py
@@ -35,9 +35,11 @@
 
         Jobs over their tenants' rates go last. A job that can be in time goes before a
         late one even if it is over its share: the late one has lost most of its value
-        to its tenant already. Suspected tasks go before others, since they are few and
-        each needs a worker on which nothing else starts. Late suspected tasks don't:
-        they would take capacity from jobs that can still be in time.
+        to its tenant already. At equal standing, steps over their tenant's share go
+        after the others. In both groups, steps with suspected tasks go first: these
+        tasks are few, and each needs a worker on which nothing else starts. Late steps
+        with such tasks don't: they would take capacity from jobs that can still be in
+        time.
         """
         suspect = any(task.loss_history is not NO_LOSSES for task in self.tasks)
         return (
--- a/src/onyxgap/jobs/settings.py
+++ b/src/onyxgap/jobs/settings.py
@@ -12,7 +12,7 @@
     :param max_lease_s: longest lease that a worker grants.
     :param stop_s: longest time that a run takes to stop.
     :param status_s: time for which the state of an ended job must stay readable.
-    :param grace_s: time between the request to stop a process and its forced end.
+    :param grace_s: time between the request to stop a process and its end.
     :param early_s: how early a scheduled occurrence may start.
     :param holder_pause_s: minimum time between two fleet controllers.
     :param move_s: time that a VM needs to join another pool.
--- a/src/onyxgap/jobs/shard.py
+++ b/src/onyxgap/jobs/shard.py
@@ -51,8 +51,8 @@
     """State of one shard at its owner, and the scheduler of its tasks.
 
     :param shares: its shares of tenants' caps; ``None`` where there are no tenants.
-    :param find_weight: returns a tenant's weight where capacity is shared by weight;
-        ``None`` where the jobs of all tenants share one queue.
+    :param find_weight: returns a tenant's weight; ``None`` where capacity is not shared
+        by weight.
     :param beyond: number of steps over their tenants' shares in the last scheduling
         pass.
     :param backlog: steps that were ready in the last scheduling pass, in its order;
--- a/src/onyxgap/jobs/shard_stops.py
+++ b/src/onyxgap/jobs/shard_stops.py
@@ -1,4 +1,9 @@
-"""Stops runs: of cancelled jobs, on slow workers and on cordoned ones."""
+"""Chooses the runs to stop.
+
+These are runs of ended jobs, unexpected runs, runs ordered before their worker
+restarted, tasks on slow workers and serving tasks on cordoned workers. Stop orders
+without effect are repeated.
+"""
 
 import typing as t
 
--- a/src/onyxgap/jobs/shard_workers.py
+++ b/src/onyxgap/jobs/shard_workers.py
@@ -369,7 +369,8 @@
             sent = [task for task in tasks if _may_have_been_sent(task)]
             self._record_losses(sent, crashed, record.last_clock_ms)
         if crashed and tasks:
-            # A worker without runs was drained, and is being moved or maintained.
+            # A worker without runs is not recorded: it may have been drained, and then
+            # it has moved or is in maintenance.
             self.crashes.note([task.task_id.job_id for task in tasks], now)
         for job, task in lost:
             self._release(job, task)
--- a/src/onyxgap/jobs/shares.py
+++ b/src/onyxgap/jobs/shares.py
@@ -6,9 +6,9 @@
 
 An owner starts a task only if everything that may be running in its shard stays within
 the shard's share. Before it writes a smaller share to the store, it applies that share
-in memory. The cap therefore holds without synchronised clocks: an owner that is dead,
-frozen or partitioned cannot exceed the share, and its successor takes over the share
-together with everything that may still be running.
+in memory. The cap therefore does not depend on any clock: an owner that is dead, frozen
+or partitioned cannot exceed the share, and its successor takes over the share together
+with everything that may still be running.
 
 This module only decides; :mod:`onyxgap.daemons.share_keeper` reads and writes the rows.
 """
--- a/src/onyxgap/jobs/submissions.py
+++ b/src/onyxgap/jobs/submissions.py
@@ -17,7 +17,8 @@
 MAX_TASKS = 1_500
 """Maximum tasks of all steps; the progress of a job then fits into a row of 64 KB."""
 MAX_STEPS = 100
-"""Limits the cost of validating a body; jobs in practice have up to five steps."""
+"""Limits the cost of validating a body. It is far above the five steps of the jobs
+seen."""
 MAX_OCCURRENCES = 10_000
 """Enough for one occurrence per minute for about a week."""
 
--- a/src/onyxgap/pools/bursts.py
+++ b/src/onyxgap/pools/bursts.py
@@ -17,8 +17,9 @@
 """Minimum jobs in the window to start a burst. Between bursts, a service receives one
 job in several seconds."""
 BURST_START_SHARE = 0.25
-"""Fraction of the busiest window so far that starts a burst: well above the twentieth
-that is demanded between bursts, well below the fivefold mean."""
+"""Fraction of the jobs in the busiest window so far that starts a burst. It is well
+above the demand between bursts (a twentieth) and well below that of a burst, which is
+five times the mean."""
 BURST_END_SHARE = 0.12
 """Fraction of the busiest window at or below which a burst has ended."""
 MIN_BURST_S = 2.5
--- a/src/onyxgap/pools/messages.py
+++ b/src/onyxgap/pools/messages.py
@@ -81,7 +81,8 @@
     :param shard: the shard.
     :param workers: load by worker.
     :param emptied: cordon ID by worker, for cordoned workers that are drained.
-    :param queued: VMs needed by ready tasks that must start soon to be in time.
+    :param queued: VMs needed by waiting tasks that justify more VMs; see
+        :meth:`onyxgap.jobs.priorities.Forecast.justifies_more_vms`.
     :param batch: VMs filled by running tasks that end by themselves.
     :param serving: VMs filled by tasks that serve until their job is cancelled.
     :param arrived_jobs: jobs accepted since the owner claimed the shard.
--- a/src/onyxgap/pools/waves.py
+++ b/src/onyxgap/pools/waves.py
@@ -19,7 +19,8 @@
 WAVE_MARGIN_S = 4.0
 """Time before a wave's deadline by which maintenance of its last VM should start."""
 IDLE_SHARE = 0.5
-"""Fraction of an idle pool that stays schedulable; maintenance of a VM takes 2 s."""
+"""Fraction of an idle pool that stays schedulable while its VMs are maintained, which
+takes 2 s."""
 DRAIN_S = 2.5
 """Time that a cordoned worker takes to drain: most tasks end within 2 s."""
 
