--- a/src/onyxgap/jobs/progress.py
+++ b/src/onyxgap/jobs/progress.py
@@ -6,9 +6,9 @@
 """Least interval for a measurement of speed. Workers report whole percents, so a
 shorter interval gives a coarse value: half a second of a task of 2 s is 25 percent."""
 RESTORE_S = 0.7
-"""Time that a run gets to restore a checkpoint. It makes no progress for 0.6 s
-according to the bounds of the sites seen; where restoring takes longer, a run is
-measured too early."""
+"""Time that a run gets to restore a checkpoint, during which it makes no progress. The
+time limits of the deployments seen give 0.6 s; where restoring takes longer, the speed
+is measured too early."""
 PERCENT = 100.0
 
 
--- a/src/onyxgap/jobs/shard_reports.py
+++ b/src/onyxgap/jobs/shard_reports.py
@@ -37,8 +37,8 @@
 """First-attempt task failures on a worker, without a success in between, after which it
 is blocked. A single one is mostly the fault of its job."""
 FAILURE_BLOCK_S = 4.0
-"""How long such a worker gets no new tasks. In the site's examples, workers that fail
-what they start did so for 6 s."""
+"""How long such a worker gets no new tasks. In the site's examples, a faulty worker
+fails the tasks that it starts for 6 s."""
 REFUSAL_BLOCK_S = 0.3
 """How long a worker that refused a start gets no new tasks: it is tried again about as
 often as it reports."""
--- a/src/onyxgap/jobs/timeouts.py
+++ b/src/onyxgap/jobs/timeouts.py
@@ -9,7 +9,7 @@
 
 MIN_TIMEOUT_S = 0.35
 """A write takes about 10 ms, and 300 ms when the store has just turned 60 times slower.
-With 0.15 s, writes were retried while they still waited, and partitions refused
+A timeout of 0.15 s would retry writes that still wait, and partitions would refuse
 writes."""
 MAX_TIMEOUT_S = 1.0
 """A transaction takes 300 ms when the store is 60 times slower, and may queue too."""
--- a/src/onyxgap/pools/bursts.py
+++ b/src/onyxgap/pools/bursts.py
@@ -29,7 +29,8 @@
 the start of the previous one, continues it."""
 ESTIMATED_PERIOD_SHARE = 0.85
 """Fraction of the estimated period after which the next burst is expected. The period
-is estimated from the longest burst, as one of few jobs looks shorter than it is."""
+is estimated from the longest burst, since a burst of few jobs seems shorter than it
+is."""
 MEASURED_PERIOD_SHARE = 0.95
 """Fraction of the measured period after which the next burst is expected. A burst is
 detected at its third job, so measured periods are inexact."""
--- a/src/onyxgap/pools/offered.py
+++ b/src/onyxgap/pools/offered.py
@@ -16,7 +16,7 @@
 later, and a busy queue receives ten jobs a second."""
 HALF_WEIGHT_JOBS = 1.0
 """Number of jobs whose work counts half when no others arrive in the window. One large
-job is five VM seconds, and without this, pools of large jobs grew for each of them
+job is five VM seconds; without this, a pool of large jobs would grow for each of them
 without need."""
 
 
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -125,7 +125,10 @@
 def test_idle_pool_is_filled_with_one_check_of_each_worker_a_step(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """400 jobs of six tasks on 400 workers took 960,000 checks without heaps."""
+    """Guards against a check of each worker for each task.
+
+    For 400 jobs of six tasks on 400 workers, that is 960,000 checks without heaps.
+    """
     checks = 0
 
     def count_check(*args: t.Any) -> bool:
@@ -141,7 +144,11 @@
 
 
 def test_full_pool_is_checked_once_for_many_waiting_jobs() -> None:
-    """150 full workers, 400 waiting jobs: a pass took 23 ms, and 2 ms with heaps."""
+    """Guards against a check of each full worker for each waiting job.
+
+    With 150 full workers and 400 waiting jobs, a pass takes 23 ms without heaps and
+    2 ms with them.
+    """
     shard = build_shard(150)
     add_jobs(shard, 150 * 16 // 6 + 400)
     shard.plan(2.0, 0.0)
--- a/tests/test_crashing_tasks.py
+++ b/tests/test_crashing_tasks.py
@@ -1,22 +1,19 @@
 """Limits on the starts of tasks that crash each worker that starts them.
 
-Guards against a task that is started without limit. Two jobs did not end, and their
-first tasks were started over two hundred times. Half of the other jobs on the same pool
-were late or lost. When VMs were moved in from other pools, those pools lost jobs too.
-
-How it comes about: an owner starts such a task beside a dozen others on one worker,
-which crashes 10 ms later. The VM list shows the worker as down, and its runs are
-released. All of them are placed again, mostly together on the next worker, which
-crashes too.
-
-Cause: only ends that a worker reported counted as attempts. A run that was lost with
-its worker was released as if it had never been started. Nothing limited its starts, and
-nothing told it from the tasks beside it.
-
-The log lines on lost runs in the day below, with seed 1 and before the fix, show: 161
-workers were lost, each with such a task on it. All its 216 runs had been confirmed, and
-no report listed one later than its start. 2,567 runs of other tasks were lost with
-them. All orders came from one owner in one epoch.
+Guards against a task that is started without limit because a run that is lost with its
+worker does not count as an attempt, and nothing tells it from the runs beside it. An
+owner starts such a task beside a dozen others on one worker, which crashes 10 ms later.
+The VM list shows the worker as down, and its runs are released. All of them are placed
+again, mostly together on the next worker, which crashes too.
+
+In the failure seen, two jobs did not end, and their first tasks were started over two
+hundred times. Half of the other jobs on the same pool were late or lost. Pools from
+which VMs were moved in lost jobs, too.
+
+Without a limit, the log lines on lost runs in the day below, with seed 1, show: 161
+workers are lost, each with such a task on it. All its 216 runs are confirmed, and no
+report lists one later than its start. 2,567 runs of other tasks are lost with them. All
+orders come from one owner in one epoch.
 """
 
 import pytest
--- a/tests/test_new_workers.py
+++ b/tests/test_new_workers.py
@@ -57,8 +57,8 @@
 def test_new_workers_get_urgent_work_within_a_second() -> None:
     """New workers start a run soon, and then at least as many runs as old ones.
 
-    When the test was written, the first run on a new VM began after 14 ms of emulated
-    time; then 35 runs began on each new VM and 24 on each old one.
+    Reference values from when the test was written: the first run on a new VM after
+    14 ms of emulated time, then 35 runs on each new VM and 24 on each old one.
     """
     new, records, result = run_virtually(play_growing_day)
     assert result.breaches == []
--- a/tests/test_order_lanes.py
+++ b/tests/test_order_lanes.py
@@ -104,8 +104,8 @@
 
 
 def test_burst_of_start_orders_arrives_before_their_deadlines() -> None:
-    # 400 calls of 4 ms, one after the other; when all deadlines were set at once, 276
-    # orders arrived after theirs
+    # Guards against setting all deadlines at once: with 400 calls of 4 ms, one after
+    # the other, 276 orders then arrive after theirs.
     workers = SerialWorkers()
     orders = [build_order(number, f"w{number % 50}") for number in range(ORDERS)]
     run_virtually(send_orders, workers, orders)
