--- a/src/onyxgap/request/allocation.py
+++ b/src/onyxgap/request/allocation.py
@@ -1,7 +1,7 @@
-"""An entry's half of slot allocation: whom to ask, and what if it is silent.
+"""Slot allocation in an entry: requests slots from owners and detects failed owners.
 
-:class:`SlotBroker` also hosts the schedulers of the services that this entry
-owns. It does no input or output: frames go out through :class:`SlotLink`.
+:class:`SlotBroker` also runs the schedulers of the services that this entry owns. It
+does no input or output: frames are sent through a :class:`SlotLink`.
 """
 
 import random
@@ -31,11 +31,11 @@
 
 
 @attrs.define(slots=True)
-class _Pending:
+class _PendingRequest:
     message: AskMessage
     deadline: float
     owner: str
-    asked_at: float
+    requested_at: float
     on_done: OnDone
 
 
@@ -46,12 +46,14 @@
 
 @attrs.define
 class SlotBroker:
-    """Gets slots for this entry's requests and grants those it owns.
+    """Requests slots for this entry and grants the slots of the services it owns.
 
     :param me: name of this entry.
     :param link: carries messages to other entries.
     :param rng: seeded generator.
-    :param reserve_share: share of slots kept for urgent asks.
+    :param reserve_share: share of the slots that only urgent requests may use.
+    :param on_busy: called when a slot request was added, so that :meth:`tick` has to
+        be called periodically again.
     """
 
     me: str
@@ -63,16 +65,16 @@
     _suspects: set[str] = attrs.field(factory=set)
     _owners: dict[str, str] = attrs.field(factory=dict)
     _schedulers: dict[str, SlotScheduler] = attrs.field(factory=dict)
-    # service of every ask and slot that a scheduler here knows of
-    _known: dict[tuple[str, int], str] = attrs.field(factory=dict)
-    _pending: dict[int, _Pending] = attrs.field(factory=dict)
+    # service of each slot request and slot in a scheduler here, by member and ask ID
+    _services: dict[tuple[str, int], str] = attrs.field(factory=dict)
+    _pending: dict[int, _PendingRequest] = attrs.field(factory=dict)
     _held: dict[int, Slot] = attrs.field(factory=dict)
-    _heard_at: dict[str, float] = attrs.field(factory=dict)
+    _last_contact_at: dict[str, float] = attrs.field(factory=dict)
     _probes: dict[str, _Probe] = attrs.field(factory=dict)
     _state: FleetState = attrs.field(factory=FleetState)
-    _next_ask: int = 1
+    _next_ask_id: int = 1
 
-    # the entry's own requests
+    # slot requests of this entry
 
     def acquire(
         self,
@@ -84,60 +86,61 @@
         now: float,
         on_done: OnDone,
     ) -> int:
-        """Ask for a slot.
+        """Request a slot from the owner of a service.
 
         :param service: the service.
-        :param rank: priority, 0 first.
-        :param team: whose quota it uses, or ``None``.
-        :param avoid: VMs and zones that earlier attempts failed in.
+        :param rank: priority; 0 is the most urgent.
+        :param team: team whose quota is charged, or ``None``.
+        :param avoid: VMs and zones in which earlier attempts failed.
         :param deadline: monotonic seconds.
         :param now: monotonic seconds.
-        :param on_done: called once, with the slot or the refusal.
-        :returns: id of the ask, to withdraw it.
+        :param on_done: called once, with the slot or the refusal, unless the request
+            is withdrawn first.
+        :returns: ID of the slot request, with which it can be withdrawn.
         """
-        ask = self._next_ask
-        self._next_ask += 1
-        message = AskMessage(ask, service, rank, deadline - now, team, avoid)
+        ask_id = self._next_ask_id
+        self._next_ask_id += 1
+        message = AskMessage(ask_id, service, rank, deadline - now, team, avoid)
         owner = self.find_owner(service)
-        self._pending[ask] = _Pending(message, deadline, owner, now, on_done)
-        self._ask(owner, message, now)
+        self._pending[ask_id] = _PendingRequest(message, deadline, owner, now, on_done)
+        self._send_request(owner, message, now)
         self.on_busy()
-        return ask
+        return ask_id
 
-    def _ask(self, owner: str, message: AskMessage, now: float) -> None:
+    def _send_request(self, owner: str, message: AskMessage, now: float) -> None:
         if owner == self.me:
             self.handle_ask(self.me, message, now)
         else:
             self.link.send_ask(owner, message)
 
-    def withdraw(self, ask: int, now: float) -> None:
-        """Withdraw an ask that nobody waits for any more.
+    def withdraw(self, ask_id: int, now: float) -> None:
+        """Withdraw a slot request; without effect if it is not pending.
 
-        :param ask: its id.
+        :param ask_id: ID of the slot request.
         :param now: monotonic seconds.
         """
-        pending = self._pending.pop(ask, None)
+        pending = self._pending.pop(ask_id, None)
         if pending is not None:
-            self._send_release(pending.owner, ask, Outcome.UNUSED, 0.0, now)
+            self._send_release(pending.owner, ask_id, Outcome.UNUSED, 0.0, now)
 
     def release(self, slot: Slot, outcome: Outcome, took_s: float, now: float) -> None:
-        """Give a slot back.
+        """Release a slot.
 
         :param slot: the slot.
         :param outcome: how it was used.
-        :param took_s: how long, in seconds.
+        :param took_s: run time in seconds.
         :param now: monotonic seconds.
         """
         held = self._held.pop(slot.ask, slot)
         self._send_release(held.owner, slot.ask, outcome, took_s, now)
 
     def _send_release(
-        self, owner: str, ask: int, outcome: Outcome, took_s: float, now: float
+        self, owner: str, ask_id: int, outcome: Outcome, took_s: float, now: float
     ) -> None:
         if owner == self.me:
-            self.handle_release(self.me, ask, outcome, took_s, now)
+            self.handle_release(self.me, ask_id, outcome, took_s, now)
         else:
-            self.link.send_release(owner, ask, outcome, took_s)
+            self.link.send_release(owner, ask_id, outcome, took_s)
 
     def count_in_flight(self, vm: str) -> int:
         """Count this entry's slots in use on a VM.
@@ -146,7 +149,7 @@
         """
         return sum(slot.vm == vm for slot in self._held.values())
 
-    # who owns what
+    # ownership of services
 
     def find_owner(self, service: str) -> str:
         """Find the entry that grants the slots of a service.
@@ -164,7 +167,7 @@
         return name == self.me or name not in self._suspects
 
     def set_entries(self, names: t.Iterable[str], now: float) -> None:
-        """Set the live entries; ownership follows.
+        """Set the live entries and reassign the ownership of services.
 
         :param names: entries that have not lapsed and are not stopping.
         :param now: monotonic seconds.
@@ -175,87 +178,94 @@
         gone = set(self._entries) - set(entries)
         self._entries = entries
         for name in gone:
-            self._drop_member(name, now)
-        self._move_ownership(now)
+            self._remove_member(name, now)
+        self._reassign_owners(now)
 
-    def _drop_member(self, name: str, now: float) -> None:
-        for key in [key for key in self._known if key[0] == name]:
-            del self._known[key]
+    def _remove_member(self, name: str, now: float) -> None:
+        for key in [key for key in self._services if key[0] == name]:
+            del self._services[key]
         for scheduler in self._schedulers.values():
-            self._tell(scheduler.drop_member(name, now))
+            self._send_decisions(scheduler.remove_member(name, now))
 
     def hear(self, name: str, now: float) -> None:
-        """Note that a frame of another entry has arrived.
+        """Record that a frame of another entry has arrived.
+
+        A suspected entry becomes usable as an owner again.
 
         :param name: the sender.
         :param now: monotonic seconds.
         """
-        self._heard_at[name] = now
+        self._last_contact_at[name] = now
         self._probes.pop(name, None)
         if name in self._suspects:
             self._suspects.discard(name)
-            self._move_ownership(now)
+            self._reassign_owners(now)
 
     def suspect(self, name: str, now: float) -> None:
-        """Stop counting on an entry until it is heard again.
+        """Assign no services to an entry until a frame of it arrives.
 
-        :param name: the silent entry.
+        :param name: the entry that does not answer.
         :param now: monotonic seconds.
         """
         self._suspects.add(name)
         self._probes.pop(name, None)
-        self._move_ownership(now)
+        self._reassign_owners(now)
 
-    def _move_ownership(self, now: float) -> None:
+    def _reassign_owners(self, now: float) -> None:
         self._owners.clear()
-        for ask, slot in list(self._held.items()):
+        for ask_id, slot in list(self._held.items()):
             owner = self.find_owner(slot.service)
             if owner != slot.owner:
-                self._move_held(ask, slot, owner, now)
+                self._transfer_slot(ask_id, slot, owner, now)
         for pending in list(self._pending.values()):
             owner = self.find_owner(pending.message.service)
             if owner != pending.owner:
-                self._move_pending(pending, owner, now)
+                self._resend_request(pending, owner, now)
 
-    def _move_held(self, ask: int, slot: Slot, owner: str, now: float) -> None:
-        self._send_release(slot.owner, ask, Outcome.UNUSED, 0.0, now)
+    def _transfer_slot(self, ask_id: int, slot: Slot, owner: str, now: float) -> None:
+        self._send_release(slot.owner, ask_id, Outcome.UNUSED, 0.0, now)
         moved = attrs.evolve(slot, owner=owner)
-        self._held[ask] = moved
+        self._held[ask_id] = moved
         if owner == self.me:
             self.handle_held(self.me, moved, now)
         else:
             self.link.send_held(owner, moved)
 
-    def _move_pending(self, pending: _Pending, owner: str, now: float) -> None:
-        ask = pending.message.ask
-        self._send_release(pending.owner, ask, Outcome.UNUSED, 0.0, now)
+    def _resend_request(self, pending: _PendingRequest, owner: str, now: float) -> None:
+        ask_id = pending.message.ask
+        self._send_release(pending.owner, ask_id, Outcome.UNUSED, 0.0, now)
         remaining = pending.deadline - now
         pending.message = attrs.evolve(pending.message, remaining_s=remaining)
         pending.owner = owner
-        pending.asked_at = now
-        self._ask(owner, pending.message, now)
+        pending.requested_at = now
+        self._send_request(owner, pending.message, now)
 
     def is_busy(self) -> bool:
-        """Tell whether anything waits for time to pass."""
+        """Tell whether slot requests are pending or queued here.
+
+        While they are, :meth:`tick` has to be called periodically.
+        """
         return bool(self._pending) or any(
             scheduler.queue.count_all() for scheduler in self._schedulers.values()
         )
 
     def tick(self, now: float) -> None:
-        """Probe silent owners, suspect mute ones, refuse late asks.
+        """Probe owners that do not answer and refuse requests past their deadline.
+
+        An owner that does not answer the probe in time is suspected.
 
         :param now: monotonic seconds.
         """
-        waiting = {item.owner: item.asked_at for item in self._pending.values()}
+        waiting = {item.owner: item.requested_at for item in self._pending.values()}
         waiting.pop(self.me, None)
-        for owner, asked_at in waiting.items():
-            self._watch(owner, asked_at, now)
+        for owner, requested_at in waiting.items():
+            self._check_owner(owner, requested_at, now)
         for scheduler in self._schedulers.values():
-            self._tell(scheduler.expire(now))
+            self._send_decisions(scheduler.expire(now))
 
-    def _watch(self, owner: str, asked_at: float, now: float) -> None:
-        heard_at = max(self._heard_at.get(owner, float("-inf")), asked_at)
-        if now - heard_at < defaults.PROBE_AFTER_S:
+    def _check_owner(self, owner: str, requested_at: float, now: float) -> None:
+        contact_at = max(self._last_contact_at.get(owner, float("-inf")), requested_at)
+        if now - contact_at < defaults.PROBE_AFTER_S:
             return
         probe = self._probes.get(owner)
         if probe is None:
@@ -266,37 +276,39 @@
 
     # messages from other entries
 
-    def handle_decision(self, member: str, ask: int, decision: Slot | Refusal) -> None:
-        """Take an owner's decision; a slot nobody waits for goes back.
+    def handle_decision(
+        self, member: str, ask_id: int, decision: Slot | Refusal
+    ) -> None:
+        """Complete a pending request; release a slot that no pending request needs.
 
-        :param member: the owner.
-        :param ask: id of the ask.
+        :param member: the owner that decided.
+        :param ask_id: ID of the slot request.
         :param decision: the slot or the refusal.
         """
-        pending = self._pending.get(ask)
+        pending = self._pending.get(ask_id)
         if pending is None or pending.owner != member:
-            if isinstance(decision, Slot) and ask not in self._held:
-                self.link.send_release(member, ask, Outcome.UNUSED, 0.0)
+            if isinstance(decision, Slot) and ask_id not in self._held:
+                self.link.send_release(member, ask_id, Outcome.UNUSED, 0.0)
             return
-        del self._pending[ask]
+        del self._pending[ask_id]
         if isinstance(decision, Slot):
             decision = attrs.evolve(
                 decision,
                 service=pending.message.service,
                 team=pending.message.team,
             )
-            self._held[ask] = decision
+            self._held[ask_id] = decision
         pending.on_done(decision)
 
     def handle_ask(self, member: str, message: AskMessage, now: float) -> None:
-        """Take in another entry's ask for a service that it thinks we own.
+        """Schedule a slot request of an entry that takes this one for the owner.
 
         :param member: the entry.
-        :param message: its ask.
+        :param message: its slot request.
         :param now: monotonic seconds.
         """
         scheduler = self._find_scheduler(message.service)
-        ask = Ask(
+        request = Ask(
             member=member,
             ask=message.ask,
             rank=message.rank,
@@ -304,56 +316,58 @@
             team=message.team,
             avoid=message.avoid,
         )
-        self._known[member, message.ask] = message.service
-        self._tell(scheduler.submit(ask, now))
+        self._services[member, message.ask] = message.service
+        self._send_decisions(scheduler.submit(request, now))
         self.on_busy()
 
     def handle_held(self, member: str, slot: Slot, now: float) -> None:
-        """Count a slot that an entry holds from an earlier owner.
+        """Count a slot that a previous owner granted to an entry as in use.
 
         :param member: the entry.
         :param slot: its slot.
         :param now: monotonic seconds.
         """
         scheduler = self._find_scheduler(slot.service)
-        self._known[member, slot.ask] = slot.service
+        self._services[member, slot.ask] = slot.service
         scheduler.adopt(member, slot.ask, slot.vm, slot.team)
 
     def handle_release(
-        self, member: str, ask: int, outcome: Outcome, took_s: float, now: float
+        self, member: str, ask_id: int, outcome: Outcome, took_s: float, now: float
     ) -> None:
-        """Take a slot back.
+        """Free a slot or withdraw a queued request of an entry.
 
-        :param member: the entry that held it.
-        :param ask: id of its ask.
-        :param outcome: how it was used.
-        :param took_s: how long, in seconds.
+        :param member: the entry that held the slot or sent the request.
+        :param ask_id: ID of the slot request.
+        :param outcome: how the slot was used.
+        :param took_s: run time in seconds.
         :param now: monotonic seconds.
         """
-        service = self._known.pop((member, ask), None)
+        service = self._services.pop((member, ask_id), None)
         if service is not None:
             scheduler = self._schedulers[service]
-            self._tell(scheduler.release(member, ask, outcome, took_s, now))
+            self._send_decisions(
+                scheduler.release(member, ask_id, outcome, took_s, now)
+            )
 
-    def _tell(self, decisions: t.Iterable[Decision]) -> None:
+    def _send_decisions(self, decisions: t.Iterable[Decision]) -> None:
         for decision in decisions:
             if isinstance(decision, Refused):
-                self._known.pop((decision.ask.member, decision.ask.ask), None)
+                self._services.pop((decision.ask.member, decision.ask.ask), None)
             if decision.ask.member != self.me:
                 self.link.send_decision(decision)
             else:
-                self._tell_me(decision)
+                self._handle_own_decision(decision)
 
-    def _tell_me(self, decision: Decision) -> None:
-        ask = decision.ask.ask
+    def _handle_own_decision(self, decision: Decision) -> None:
+        ask_id = decision.ask.ask
         if isinstance(decision, Granted):
-            slot = Slot(ask, "", decision.vm, self.me)
-            self.handle_decision(self.me, ask, slot)
+            slot = Slot(ask_id, "", decision.vm, self.me)
+            self.handle_decision(self.me, ask_id, slot)
         else:
             refusal = Refusal(decision.reason, decision.retry_after_s)
-            self.handle_decision(self.me, ask, refusal)
+            self.handle_decision(self.me, ask_id, refusal)
 
-    # what the schedulers know of the fleet
+    # fleet state of the schedulers
 
     def _find_scheduler(self, service: str) -> SlotScheduler:
         scheduler = self._schedulers.get(service)
@@ -361,29 +375,29 @@
             targets = TargetSet(random.Random(self.rng.getrandbits(64)))
             scheduler = SlotScheduler(targets, reserve_share=self.reserve_share)
             self._schedulers[service] = scheduler
-            self._refresh(service, scheduler)
+            self._update_scheduler(service, scheduler)
         return scheduler
 
     def refresh(self, state: FleetState, now: float) -> None:
-        """Take over a newer state of the fleet.
+        """Update targets and quotas from a newer fleet state, and grant free slots.
 
         :param state: the agreed state.
         :param now: monotonic seconds.
         """
         self._state = state
         for service, scheduler in self._schedulers.items():
-            self._refresh(service, scheduler)
-            self._tell(scheduler.grant_free(now))
+            self._update_scheduler(service, scheduler)
+            self._send_decisions(scheduler.grant_free_slots(now))
 
-    def _refresh(self, service: str, scheduler: SlotScheduler) -> None:
+    def _update_scheduler(self, service: str, scheduler: SlotScheduler) -> None:
         scheduler.targets.replace(list_targets(self._state, service))
         scheduler.quotas = find_quotas(self._state, service)
 
     def refuse_all(self, now: float) -> None:
-        """End every waiting ask at once, since this process may not serve.
+        """Withdraw and refuse all pending requests, as this process may not serve.
 
         :param now: monotonic seconds.
         """
-        for ask, pending in list(self._pending.items()):
-            self.withdraw(ask, now)
+        for ask_id, pending in list(self._pending.items()):
+            self.withdraw(ask_id, now)
             pending.on_done(Refusal(Reason.NOT_FRESH, defaults.FRESHNESS_LIMIT_S))
--- a/src/onyxgap/request/link.py
+++ b/src/onyxgap/request/link.py
@@ -1,4 +1,4 @@
-"""Messages about slots between entries, and what carries them."""
+"""Slot messages between entries, and the protocol of the link that carries them."""
 
 import typing as t
 
@@ -11,7 +11,15 @@
 
 @attrs.frozen(slots=True)
 class AskMessage:
-    """An ask as it travels to the owner of its service."""
+    """A slot request as it is sent to the owner of the service.
+
+    :param ask: ID of the slot request, unique within the requesting entry.
+    :param service: the service.
+    :param rank: priority; 0 is the most urgent.
+    :param remaining_s: seconds until the deadline.
+    :param team: team whose quota is charged, or ``None``.
+    :param avoid: VMs and zones in which earlier attempts failed.
+    """
 
     ask: int
     service: str
@@ -22,21 +30,21 @@
 
 
 class SlotLink(t.Protocol):
-    """Sends slot messages to other entries; never blocks."""
+    """Sends slot messages to other entries without blocking."""
 
     def send_ask(self, owner: str, message: AskMessage) -> None:
-        """Ask the owner for a slot."""
+        """Request a slot from the owner of the service."""
 
     def send_release(
-        self, owner: str, ask: int, outcome: Outcome, took_s: float
+        self, owner: str, ask_id: int, outcome: Outcome, took_s: float
     ) -> None:
-        """Release a slot or withdraw an ask."""
+        """Release a slot or withdraw a slot request."""
 
     def send_held(self, owner: str, slot: Slot) -> None:
-        """Tell a new owner of a slot that is in use."""
+        """Report a slot in use to the new owner of its service."""
 
     def send_decision(self, decision: Decision) -> None:
-        """Tell an entry what became of its ask."""
+        """Send a grant or a refusal to the entry that requested the slot."""
 
     def send_probe(self, owner: str) -> None:
-        """Ask for a sign of life."""
+        """Request a reply that shows that the owner is alive."""
--- a/src/onyxgap/request/queue.py
+++ b/src/onyxgap/request/queue.py
@@ -1,23 +1,24 @@
-"""Waiting asks of one service: by priority, and in turn between teams."""
+"""Queue of slot requests for one service: by priority, round-robin between teams."""
 
 import collections
 import typing as t
 
 import attrs
 
-RANKS = 3
+RANK_COUNT = 3
 
 
 @attrs.frozen(slots=True)
 class Ask:
-    """An entry's ask for a slot.
-
-    :param member: the entry that asks.
-    :param ask: id of the ask within that entry.
-    :param rank: priority, 0 first.
-    :param deadline: monotonic seconds of the owner after which it is useless.
-    :param team: whose quota it uses, or ``None``.
-    :param avoid: VMs and zones that earlier attempts failed in.
+    """A slot request as the owner of the service schedules it.
+
+    :param member: the entry that sent it.
+    :param ask: ID of the slot request, unique within that entry.
+    :param rank: priority; 0 is the most urgent.
+    :param deadline: monotonic seconds, by the owner's clock, after which a slot is of
+        no use.
+    :param team: team whose quota is charged, or ``None``.
+    :param avoid: VMs and zones in which earlier attempts failed.
     """
 
     member: str
@@ -29,75 +30,77 @@
 
 
 @attrs.define
-class AskQueue:
-    """Asks in the order of service.
+class SlotRequestQueue:
+    """Slot requests in the order in which they are granted.
 
-    Within one priority the teams take turns, so that one team's backlog does
-    not hold up another's.
+    Requests of one priority are taken round-robin from the teams, so that the backlog
+    of one team does not delay the others.
     """
 
     _teams: list[dict[str | None, collections.deque[Ask]]] = attrs.field(
-        factory=lambda: [{} for _ in range(RANKS)]
+        factory=lambda: [{} for _ in range(RANK_COUNT)]
     )
-    _counts: list[int] = attrs.field(factory=lambda: [0] * RANKS)
+    _counts: list[int] = attrs.field(factory=lambda: [0] * RANK_COUNT)
 
-    def push(self, ask: Ask) -> None:
-        """Append an ask.
+    def push(self, request: Ask) -> None:
+        """Append a slot request.
 
-        :param ask: the ask.
+        :param request: the slot request.
         """
-        teams = self._teams[ask.rank]
-        teams.setdefault(ask.team, collections.deque()).append(ask)
-        self._counts[ask.rank] += 1
+        teams = self._teams[request.rank]
+        teams.setdefault(request.team, collections.deque()).append(request)
+        self._counts[request.rank] += 1
 
     def count_ahead(self, rank: int) -> int:
-        """Count the asks that a new one of this rank has to wait for.
+        """Count the queued requests that a new one of this priority has to wait for.
 
-        :param rank: its priority.
+        :param rank: priority of the new request.
         """
         return sum(self._counts[: rank + 1])
 
     def count_all(self) -> int:
-        """Count all waiting asks."""
+        """Count all queued requests."""
         return sum(self._counts)
 
     def count_rank(self, rank: int) -> int:
-        """Count the waiting asks of one rank.
+        """Count the queued requests of one priority.
 
         :param rank: the priority.
         """
         return self._counts[rank]
 
-    def pop(self, rank: int, may_run: t.Callable[[str | None], bool]) -> Ask | None:
-        """Take the next ask of a rank whose team is below its quota.
+    def pop(
+        self, rank: int, is_below_quota: t.Callable[[str | None], bool]
+    ) -> Ask | None:
+        """Remove and return the next request of a priority whose team is below quota.
 
         :param rank: the priority.
-        :param may_run: tells whether a team is below its quota.
+        :param is_below_quota: tells whether a team is below its quota.
         """
         teams = self._teams[rank]
         for team in list(teams):
-            if not may_run(team):
+            if not is_below_quota(team):
                 continue
             waiting = teams.pop(team)
-            ask = waiting.popleft()
+            request = waiting.popleft()
             if waiting:
-                # back of the line: the other teams go first
+                # round-robin: the team moves behind the other teams
                 teams[team] = waiting
             self._counts[rank] -= 1
-            return ask
+            return request
         return None
 
-    def remove(self, keep: t.Callable[[Ask], bool]) -> list[Ask]:
-        """Remove the asks that are not to be kept.
+    def remove_unless(self, keep: t.Callable[[Ask], bool]) -> list[Ask]:
+        """Remove the requests for which a predicate is false.
 
-        :param keep: tells which ones stay.
-        :returns: the removed ones.
+        :param keep: tells which requests stay.
+        :returns: the removed requests.
         """
         removed: list[Ask] = []
         for rank, teams in enumerate(self._teams):
             for team, waiting in list(teams.items()):
-                kept = collections.deque(ask for ask in waiting if keep(ask))
-                removed.extend(ask for ask in waiting if not keep(ask))
+                kept = collections.deque(item for item in waiting if keep(item))
+                removed.extend(item for item in waiting if not keep(item))
                 if kept:
                     teams[team] = kept
                 else:
--- a/src/onyxgap/request/scheduling.py
+++ b/src/onyxgap/request/scheduling.py
@@ -1,8 +1,8 @@
-"""Grants the slots of one service to the asks of all entries.
+"""Scheduler of the slots of one service: admission, priorities, quotas, load shedding.
 
-One entry owns the scheduler of a service (rendezvous hashing over the live
-entries). It keeps nothing that lasts: a new owner learns the slots in use
-from the entries that hold them.
+One entry owns the scheduler of a service; rendezvous hashing over the live entries
+chooses it. The scheduler stores nothing durably: a new owner learns of the slots in
+use from the entries that hold them.
 """
 
 import math
@@ -13,20 +13,20 @@
 from .. import defaults
 from .messages import Outcome
 from .messages import Reason
-from .queue import RANKS
+from .queue import RANK_COUNT
 from .queue import Ask
-from .queue import AskQueue
+from .queue import SlotRequestQueue
 from .targets import TargetSet
 
 URGENT_RANK = 0
 MEAN_SMOOTHING = 0.05
 INITIAL_MEAN_S = 0.05
-MIN_USUAL_S = 0.001
+MIN_MEAN_S = 0.001
 
 
 @attrs.frozen(slots=True)
 class Granted:
-    """The ask may use one slot of the VM."""
+    """The slot request is granted one slot of the VM."""
 
     ask: Ask
     vm: str
@@ -34,9 +34,9 @@
 
 @attrs.frozen(slots=True)
 class Refused:
-    """The ask is given up, at once.
+    """The slot request is refused and not queued any longer.
 
-    :param retry_after_s: predicted time until the backlog has drained.
+    :param retry_after_s: predicted seconds until the backlog has drained.
     """
 
     ask: Ask
@@ -48,7 +48,7 @@
 
 
 @attrs.define(slots=True)
-class _Held:
+class _HeldSlot:
     vm: str
     team: str | None
     rank: int | None
@@ -56,55 +56,58 @@
 
 @attrs.define
 class SlotScheduler:
-    """Decides who gets the slots of one service.
-
-    :param targets: the service's targets.
-    :param quotas: most slots in use at once by team.
-    :param reserve_share: share of slots that only urgent asks may use.
-    :param queue_per_slot: longest queue, per slot.
+    """Grants the slots of one service to the slot requests of all entries.
+
+    :param targets: the targets of the service.
+    :param quotas: maximum number of slots in use at once, by team.
+    :param reserve_share: share of the slots that only urgent requests may use.
+    :param queue_per_slot: maximum length of the queue, per slot.
+    :param queue: the queued slot requests.
+    :param mean_s: smoothed mean run time of served requests, in seconds.
     """
 
     targets: TargetSet
     quotas: dict[str, int] = attrs.field(factory=dict)
     reserve_share: float = defaults.URGENT_RESERVE_SHARE
     queue_per_slot: int = defaults.MAX_QUEUE_PER_SLOT
-    queue: AskQueue = attrs.field(factory=AskQueue)
+    queue: SlotRequestQueue = attrs.field(factory=SlotRequestQueue)
     mean_s: float = INITIAL_MEAN_S
-    _held: dict[tuple[str, int], _Held] = attrs.field(factory=dict)
-    _by_team: dict[str, int] = attrs.field(factory=dict)
-    _usual_s: dict[int, float] = attrs.field(factory=dict)
-    _urgent_run: int = 0
+    _held: dict[tuple[str, int], _HeldSlot] = attrs.field(factory=dict)
+    _use_by_team: dict[str, int] = attrs.field(factory=dict)
+    _mean_by_rank_s: dict[int, float] = attrs.field(factory=dict)
+    _urgent_streak: int = 0
 
-    def submit(self, ask: Ask, now: float) -> list[Decision]:
-        """Take in an ask: grant, queue or refuse it.
+    def submit(self, request: Ask, now: float) -> list[Decision]:
+        """Grant, queue or refuse a slot request.
 
-        :param ask: the ask.
+        :param request: the slot request.
         :param now: monotonic seconds.
+        :returns: the decisions made now, also on requests queued before.
         """
-        refusal = self._shed(ask, now)
+        refusal = self._shed(request, now)
         if refusal is not None:
             return [refusal]
-        self.queue.push(ask)
-        return self.grant_free(now)
+        self.queue.push(request)
+        return self.grant_free_slots(now)
 
-    def _shed(self, ask: Ask, now: float) -> Refused | None:
+    def _shed(self, request: Ask, now: float) -> Refused | None:
         total, free = self.targets.count_slots(now)
         if total == 0:
             retry_after = defaults.EJECT_BASE_S
-            return Refused(ask, Reason.NO_TARGET, retry_after)
-        wait = self.predict_wait(ask.rank, total, free)
-        if now + wait > ask.deadline:
-            return Refused(ask, Reason.OVERLOADED, wait)
-        if self.queue.count_ahead(ask.rank) >= self.queue_per_slot * total:
-            return Refused(ask, Reason.QUEUE_FULL, wait)
+            return Refused(request, Reason.NO_TARGET, retry_after)
+        wait = self.predict_wait(request.rank, total, free)
+        if now + wait > request.deadline:
+            return Refused(request, Reason.OVERLOADED, wait)
+        if self.queue.count_ahead(request.rank) >= self.queue_per_slot * total:
+            return Refused(request, Reason.QUEUE_FULL, wait)
         return None
 
     def predict_wait(self, rank: int, total: int, free: int) -> float:
-        """Predict the wait of a new ask from the measured drain rate.
+        """Predict the queueing delay of a new request from the mean run time.
 
         :param rank: its priority.
-        :param total: slots that exist.
-        :param free: slots that are free.
+        :param total: number of slots.
+        :param free: number of free slots.
         :returns: seconds.
         """
         usable = free - (0 if rank == URGENT_RANK else self.count_reserve(total))
@@ -114,23 +117,23 @@
         return (ahead - max(0, usable) + 1) * self.mean_s / total
 
     def count_reserve(self, total: int) -> int:
-        """Count the slots that only urgent asks may use.
+        """Count the slots that only urgent requests may use.
 
-        :param total: slots that exist.
+        :param total: number of slots.
         """
         return math.ceil(total * self.reserve_share) if total > 1 else 0
 
-    def grant_free(self, now: float) -> list[Decision]:
-        """Grant free slots to waiting asks, in order.
+    def grant_free_slots(self, now: float) -> list[Decision]:
+        """Grant free slots to queued requests, in their order.
 
         :param now: monotonic seconds.
         """
         decisions: list[Decision] = []
         while self.queue.count_all():
-            ask = self._pop_next(now)
-            if ask is None:
+            request = self._pop_next(now)
+            if request is None:
                 break
-            decisions.append(self._decide(ask, now))
+            decisions.append(self._grant_or_refuse(request, now))
         return decisions
 
     def _pop_next(self, now: float) -> Ask | None:
@@ -141,126 +144,131 @@
         for rank in self._order_ranks():
             if rank != URGENT_RANK and free <= reserve:
                 continue
-            ask = self.queue.pop(rank, self._is_below_quota)
-            if ask is not None:
-                self._count_run(rank)
-                return ask
+            request = self.queue.pop(rank, self._is_below_quota)
+            if request is not None:
+                self._update_urgent_streak(rank)
+                return request
         return None
 
     def _order_ranks(self) -> tuple[int, ...]:
-        if self._urgent_run < defaults.STARVATION_INTERVAL:
-            return tuple(range(RANKS))
-        return (*range(1, RANKS), URGENT_RANK)
+        if self._urgent_streak < defaults.STARVATION_INTERVAL:
+            return tuple(range(RANK_COUNT))
+        return (*range(1, RANK_COUNT), URGENT_RANK)
 
-    def _count_run(self, rank: int) -> None:
+    def _update_urgent_streak(self, rank: int) -> None:
         others = self.queue.count_all() - self.queue.count_rank(URGENT_RANK)
         if rank == URGENT_RANK and others:
-            self._urgent_run += 1
+            self._urgent_streak += 1
         else:
-            self._urgent_run = 0
+            self._urgent_streak = 0
 
     def _is_below_quota(self, team: str | None) -> bool:
         if team is None or team not in self.quotas:
             return True
-        return self._by_team.get(team, 0) < self.quotas[team]
+        return self._use_by_team.get(team, 0) < self.quotas[team]
 
-    def _decide(self, ask: Ask, now: float) -> Decision:
-        if now >= ask.deadline:
-            return Refused(ask, Reason.DEADLINE, self.mean_s)
-        target = self.targets.choose(now, ask.avoid)
+    def _grant_or_refuse(self, request: Ask, now: float) -> Decision:
+        if now >= request.deadline:
+            return Refused(request, Reason.DEADLINE, self.mean_s)
+        target = self.targets.choose(now, request.avoid)
         if target is None:
-            return Refused(ask, Reason.NO_TARGET, defaults.EJECT_BASE_S)
-        held = _Held(target.vm, ask.team, ask.rank)
-        self._hold(ask.member, ask.ask, held)
-        return Granted(ask, target.vm)
-
-    def _hold(self, member: str, ask: int, held: _Held) -> None:
-        self._held[member, ask] = held
-        self.targets.take(held.vm)
+            return Refused(request, Reason.NO_TARGET, defaults.EJECT_BASE_S)
+        held = _HeldSlot(target.vm, request.team, request.rank)
+        self._hold(request.member, request.ask, held)
+        return Granted(request, target.vm)
+
+    def _hold(self, member: str, ask_id: int, held: _HeldSlot) -> None:
+        self._held[member, ask_id] = held
+        self.targets.acquire_slot(held.vm)
         if held.team is not None:
-            self._by_team[held.team] = self._by_team.get(held.team, 0) + 1
+            self._use_by_team[held.team] = self._use_by_team.get(held.team, 0) + 1
 
-    def adopt(self, member: str, ask: int, vm: str, team: str | None) -> None:
-        """Count a slot that an earlier owner granted.
+    def adopt(self, member: str, ask_id: int, vm: str, team: str | None) -> None:
+        """Count a slot that a previous owner granted as in use.
 
         :param member: the entry that holds it.
-        :param ask: id of its ask.
+        :param ask_id: ID of the slot request.
         :param vm: the VM.
-        :param team: whose quota it uses.
+        :param team: team whose quota is charged, or ``None``.
         """
-        if (member, ask) not in self._held:
-            self._hold(member, ask, _Held(vm, team, None))
+        if (member, ask_id) not in self._held:
+            self._hold(member, ask_id, _HeldSlot(vm, team, None))
 
     def release(
-        self, member: str, ask: int, outcome: Outcome, took_s: float, now: float
+        self, member: str, ask_id: int, outcome: Outcome, took_s: float, now: float
     ) -> list[Decision]:
-        """Free a slot, or withdraw a waiting ask, and grant what is free.
+        """Free a slot and grant what is free, or withdraw a queued request.
 
-        :param member: the entry.
-        :param ask: id of its ask.
+        :param member: the entry that holds the slot or sent the request.
+        :param ask_id: ID of the slot request.
         :param outcome: how the slot was used.
-        :param took_s: how long, in seconds.
+        :param took_s: run time in seconds.
         :param now: monotonic seconds.
         """
-        held = self._held.pop((member, ask), None)
+        held = self._held.pop((member, ask_id), None)
         if held is None:
-            self.queue.remove(lambda item: (item.member, item.ask) != (member, ask))
+            self.queue.remove_unless(
+                lambda item: (item.member, item.ask) != (member, ask_id)
+            )
             return []
         self._free(held, outcome, took_s, now)
-        return self.grant_free(now)
+        return self.grant_free_slots(now)
 
-    def _free(self, held: _Held, outcome: Outcome, took_s: float, now: float) -> None:
+    def _free(
+        self, held: _HeldSlot, outcome: Outcome, took_s: float, now: float
+    ) -> None:
         if outcome is Outcome.SERVED:
             self.mean_s += MEAN_SMOOTHING * (took_s - self.mean_s)
-        slowness = self._rate_slowness(held.rank, outcome, took_s)
-        self.targets.give_back(held.vm, outcome, slowness, now)
+        slowness = self._compute_slowness(held.rank, outcome, took_s)
+        self.targets.release_slot(held.vm, outcome, slowness, now)
         if held.team is not None:
-            self._by_team[held.team] -= 1
+            self._use_by_team[held.team] -= 1
 
-    def _rate_slowness(
+    def _compute_slowness(
         self, rank: int | None, outcome: Outcome, took_s: float
     ) -> float:
-        """Rate a run time against the usual one of the same priority.
+        """Return the ratio of a run time to the smoothed mean of its priority.
 
-        Long work is no sign of a slow target, so only like is compared.
+        Requests of different priorities differ in length, and a long one is no sign
+        of a slow target. Run times are therefore compared within one priority only.
         """
         if rank is None or outcome is not Outcome.SERVED:
             return 1.0
-        usual = self._usual_s.setdefault(rank, max(took_s, MIN_USUAL_S))
-        self._usual_s[rank] = usual + MEAN_SMOOTHING * (took_s - usual)
-        return took_s / max(usual, MIN_USUAL_S)
+        mean = self._mean_by_rank_s.setdefault(rank, max(took_s, MIN_MEAN_S))
+        self._mean_by_rank_s[rank] = mean + MEAN_SMOOTHING * (took_s - mean)
+        return took_s / max(mean, MIN_MEAN_S)
 
-    def drop_member(self, member: str, now: float) -> list[Decision]:
-        """Free what a lapsed entry holds and forget what it asked.
+    def remove_member(self, member: str, now: float) -> list[Decision]:
+        """Free the slots of a lapsed entry and remove its queued requests.
 
-        Its requests may still run; a target that is full then proves that it
-        did not start the next one.
+        Requests that the entry sent may still be running on the targets. A target
+        that is full rejects the next request with proof that it was not started.
 
         :param member: the entry.
         :param now: monotonic seconds.
         """
-        self.queue.remove(lambda ask: ask.member != member)
+        self.queue.remove_unless(lambda item: item.member != member)
         for key in [key for key in self._held if key[0] == member]:
             self._free(self._held.pop(key), Outcome.UNUSED, 0.0, now)
-        return self.grant_free(now)
+        return self.grant_free_slots(now)
 
     def expire(self, now: float) -> list[Decision]:
-        """Refuse the waiting asks whose deadline has passed.
+        """Refuse the queued requests whose deadline has passed.
 
         :param now: monotonic seconds.
         """
-        late = self.queue.remove(lambda ask: ask.deadline > now)
+        expired = self.queue.remove_unless(lambda item: item.deadline > now)
         refusals: list[Decision] = []
-        for ask in late:
-            refusals.append(Refused(ask, Reason.DEADLINE, self.mean_s))
-        return [*refusals, *self.grant_free(now)]
+        for request in expired:
+            refusals.append(Refused(request, Reason.DEADLINE, self.mean_s))
+        return [*refusals, *self.grant_free_slots(now)]
 
     def close(self) -> list[Ask]:
-        """Forget everything and return the waiting asks."""
+        """Remove all state and return the queued requests."""
         self._held.clear()
-        self._by_team.clear()
-        return self.queue.remove(lambda ask: False)
+        self._use_by_team.clear()
+        return self.queue.remove_unless(lambda item: False)
 
     def list_held(self) -> t.Iterable[str]:
-        """List the VMs of granted slots, one item a slot."""
+        """List the VMs of the slots in use, one item for each slot."""
         return (held.vm for held in self._held.values())
--- a/src/onyxgap/request/targets.py
+++ b/src/onyxgap/request/targets.py
@@ -1,4 +1,4 @@
-"""Targets of one service: their limits, ejection and the choice among them."""
+"""Targets of one service: concurrency limits, outlier ejection, load balancing."""
 
 import statistics
 import typing as t
@@ -15,7 +15,7 @@
 
 
 class Random(t.Protocol):
-    """The part of :class:`random.Random` that decisions use."""
+    """The methods of :class:`random.Random` that the scheduler uses."""
 
     def random(self) -> float:
         """Return a float in [0, 1)."""
@@ -26,12 +26,17 @@
 
 @attrs.define(slots=True)
 class Target:
-    """A worker as its service's scheduler sees it.
+    """A worker as the scheduler of its service sees it.
 
-    :param slots: requests it runs at once.
-    :param limit: how many it is given at present.
+    :param slots: requests that it can run at once.
+    :param limit: adaptive concurrency limit, at most `slots`.
     :param in_use: granted slots.
-    :param slowness: smoothed ratio of its run times to the usual ones.
+    :param slowness: smoothed ratio of its run times to the mean of their priority.
+    :param failures: failed requests since the last served one; an ejection sets it to
+        one below the threshold.
+    :param ejections: ejections since the last served request.
+    :param ejected_until: monotonic seconds at which its ejection ends.
+    :param serving: whether the fleet state lists it as serving.
     """
 
     vm: str
@@ -47,7 +52,7 @@
     serving: bool = True
 
     def is_open(self, now: float) -> bool:
-        """Tell whether it may be given one more request.
+        """Tell whether it can be given one more request.
 
         :param now: monotonic seconds.
         """
@@ -60,88 +65,90 @@
 class TargetSet:
     """The targets of one service.
 
-    Targets stand in levels by the slots in use, so that the least loaded one
-    is found without looking at all of them.
+    Targets are kept in buckets by their slots in use, so that the least loaded one is
+    found without scanning all of them.
 
-    :param rng: seeded generator that spreads the order of new targets.
-    :param eject_share: greatest share of targets ejected at once.
+    :param rng: seeded generator that shuffles the order of new targets.
+    :param eject_share: largest share of targets that may be ejected at once.
     """
 
     rng: Random
     eject_share: float = defaults.EJECT_SHARE_CAP
     by_vm: dict[str, Target] = attrs.field(factory=dict)
-    _levels: list[dict[str, Target]] = attrs.field(factory=list)
+    _buckets: list[dict[str, Target]] = attrs.field(factory=list)
     _total: int = 0
     _free: int = 0
     _recount_at: float = float("-inf")
-    _usual: float = 1.0
-    _usual_left: int = 0
+    _median_slowness: float = 1.0
+    _median_uses_left: int = 0
 
     def replace(self, wanted: t.Iterable[tuple[str, str, str, int]]) -> None:
-        """Set the serving targets; others stay only while they are in use.
+        """Set the serving targets; others are kept only while they are in use.
 
         :param wanted: VM, zone, rack and slots of each serving target.
         """
         serving = set()
-        for vm, zone, rack, slots in sorted(wanted, key=self._shuffle):
+        for vm, zone, rack, slots in sorted(wanted, key=self._draw_sort_key):
             serving.add(vm)
             target = self.by_vm.get(vm)
             if target is None or target.slots != slots:
-                in_use = self._drop(vm)
+                in_use = self._remove(vm)
                 target = Target(vm, zone, rack, slots, float(slots), in_use)
                 self.by_vm[vm] = target
-                self._level(in_use)[vm] = target
+                self._get_bucket(in_use)[vm] = target
             target.serving = True
         for vm in set(self.by_vm) - serving:
             self.by_vm[vm].serving = False
-            self._forget_idle(self.by_vm[vm])
-        self._recount_soon()
+            self._remove_if_drained(self.by_vm[vm])
+        self._invalidate_counts()
 
-    def _shuffle(self, item: object) -> float:
+    def _draw_sort_key(self, item: object) -> float:
         return self.rng.random()
 
-    def _drop(self, vm: str) -> int:
+    def _remove(self, vm: str) -> int:
         target = self.by_vm.pop(vm, None)
         if target is None:
             return 0
-        self._level(target.in_use).pop(vm, None)
+        self._get_bucket(target.in_use).pop(vm, None)
         return target.in_use
 
-    def _level(self, in_use: int) -> dict[str, Target]:
-        while len(self._levels) <= in_use:
-            self._levels.append({})
-        return self._levels[in_use]
+    def _get_bucket(self, in_use: int) -> dict[str, Target]:
+        while len(self._buckets) <= in_use:
+            self._buckets.append({})
+        return self._buckets[in_use]
 
-    def _forget_idle(self, target: Target) -> None:
+    def _remove_if_drained(self, target: Target) -> None:
         if not target.serving and target.in_use <= 0:
-            self._drop(target.vm)
+            self._remove(target.vm)
 
     def choose(self, now: float, avoid: t.Collection[str] = ()) -> Target | None:
-        """Choose the least loaded open target, away from the avoided ones.
+        """Choose the least loaded open target, preferably in a zone not to be avoided.
 
         :param now: monotonic seconds.
-        :param avoid: VMs and zones that an earlier attempt failed in.
+        :param avoid: VMs and zones in which earlier attempts failed. Such a VM is
+            never chosen; such a zone only if no other has an open target.
         """
-        second: Target | None = None
-        for level in self._levels:
-            for target in level.values():
+        fallback: Target | None = None
+        for bucket in self._buckets:
+            for target in bucket.values():
                 if not target.is_open(now) or target.vm in avoid:
                     continue
                 if target.zone not in avoid:
                     return target
-                second = second or target
-        return second
+                fallback = fallback or target
+        return fallback
 
     def count_slots(self, now: float) -> tuple[int, int]:
-        """Count the slots of serving targets, and those that are free.
+        """Count all and free slots of the serving targets that are not ejected.
 
         :param now: monotonic seconds.
+        :returns: all slots, by the present limits, and the free ones.
         """
         if now >= self._recount_at:
             self._recount(now)
         return self._total, self._free
 
-    def _recount_soon(self) -> None:
+    def _invalidate_counts(self) -> None:
         self._recount_at = float("-inf")
 
     def _recount(self, now: float) -> None:
@@ -154,74 +161,77 @@
                 self._total += int(target.limit)
                 self._free += max(0, int(target.limit) - target.in_use)
 
-    def take(self, vm: str) -> None:
-        """Count one more slot of a target as used.
+    def acquire_slot(self, vm: str) -> None:
+        """Count one more slot of a target as in use.
 
-        :param vm: the target.
+        :param vm: VM of the target.
         """
         target = self.by_vm.get(vm)
         if target is not None:
             if target.in_use < int(target.limit):
                 self._free -= 1
             else:
-                self._recount_soon()
-            self._move(target, target.in_use + 1)
+                self._invalidate_counts()
+            self._set_in_use(target, target.in_use + 1)
 
-    def _move(self, target: Target, in_use: int) -> None:
-        self._levels[target.in_use].pop(target.vm, None)
+    def _set_in_use(self, target: Target, in_use: int) -> None:
+        self._buckets[target.in_use].pop(target.vm, None)
         target.in_use = in_use
-        # the one used last goes to the end of its level
-        self._level(in_use)[target.vm] = target
+        # the most recently used target goes to the end of its bucket
+        self._get_bucket(in_use)[target.vm] = target
 
-    def give_back(self, vm: str, outcome: Outcome, slowness: float, now: float) -> None:
-        """Free a slot and learn from how it was used.
+    def release_slot(
+        self, vm: str, outcome: Outcome, slowness: float, now: float
+    ) -> None:
+        """Free a slot and adapt the limit or ejection of its target.
 
-        :param vm: the target.
+        :param vm: VM of the target.
         :param outcome: how the attempt ended.
-        :param slowness: its run time as a multiple of the usual one.
+        :param slowness: ratio of its run time to the mean of its priority.
         :param now: monotonic seconds.
         """
         target = self.by_vm.get(vm)
         if target is None or target.in_use <= 0:
             return
         limit = int(target.limit)
-        plain = target.serving and target.in_use <= limit
-        plain = plain and now >= target.ejected_until
-        self._move(target, target.in_use - 1)
-        _LEARN[outcome](self, target, slowness, now)
-        if plain and int(target.limit) == limit and now >= target.ejected_until:
+        counted = target.serving and target.in_use <= limit
+        counted = counted and now >= target.ejected_until
+        self._set_in_use(target, target.in_use - 1)
+        _OUTCOME_HANDLERS[outcome](self, target, slowness, now)
+        if counted and int(target.limit) == limit and now >= target.ejected_until:
             self._free += 1
         else:
-            self._recount_soon()
-        self._forget_idle(target)
+            self._invalidate_counts()
+        self._remove_if_drained(target)
 
-    def _learn_served(self, target: Target, slowness: float, now: float) -> None:
+    def _on_served(self, target: Target, slowness: float, now: float) -> None:
         target.failures = 0
         target.ejections = 0
         target.slowness += SMOOTHING * (slowness - target.slowness)
-        ceiling = self._find_ceiling(target)
-        target.limit = min(ceiling, target.limit + 1 / target.limit)
+        max_limit = self._get_max_limit(target)
+        target.limit = min(max_limit, target.limit + 1 / target.limit)
 
-    def _find_ceiling(self, target: Target) -> float:
-        usual = self._find_usual()
-        if target.slowness <= SLOW_RATIO * usual:
+    def _get_max_limit(self, target: Target) -> float:
+        median = self._get_median_slowness()
+        if target.slowness <= SLOW_RATIO * median:
             return float(target.slots)
-        share = SLOW_RATIO * usual / target.slowness
+        share = SLOW_RATIO * median / target.slowness
         return max(MIN_LIMIT, target.slots * share)
 
-    def _find_usual(self) -> float:
-        # the median moves slowly: it is taken anew once a round
-        if self._usual_left <= 0:
-            rates = [item.slowness for item in self.by_vm.values()]
-            self._usual = statistics.median_low(rates)
-            self._usual_left = len(rates)
-        self._usual_left -= 1
-        return self._usual
-
-    def _learn_overloaded(self, target: Target, slowness: float, now: float) -> None:
+    def _get_median_slowness(self) -> float:
+        # the median changes slowly, so it is computed once in as many uses as there
+        # are targets
+        if self._median_uses_left <= 0:
+            ratios = [item.slowness for item in self.by_vm.values()]
+            self._median_slowness = statistics.median_low(ratios)
+            self._median_uses_left = len(ratios)
+        self._median_uses_left -= 1
+        return self._median_slowness
+
+    def _on_overloaded(self, target: Target, slowness: float, now: float) -> None:
         target.limit = max(MIN_LIMIT, target.limit * SHRINK_FACTOR)
 
-    def _learn_failed(self, target: Target, slowness: float, now: float) -> None:
+    def _on_failed(self, target: Target, slowness: float, now: float) -> None:
         target.failures += 1
         if target.failures >= defaults.EJECT_AFTER_FAILURES:
             self._eject(target, now)
@@ -231,20 +241,22 @@
         ejected = sum(item.ejected_until > now for item in others)
         if ejected + 1 > self.eject_share * len(self.by_vm):
             return
-        pause = defaults.EJECT_BASE_S * 2**target.ejections
-        target.ejected_until = now + min(pause, defaults.EJECT_MAX_S)
+        duration_s = defaults.EJECT_BASE_S * 2**target.ejections
+        target.ejected_until = now + min(duration_s, defaults.EJECT_MAX_S)
         target.ejections += 1
-        # one more failure after the pause ejects it again at once
+        # after the ejection a single failure ejects the target again
         target.failures = defaults.EJECT_AFTER_FAILURES - 1
 
-    def _learn_nothing(self, target: Target, slowness: float, now: float) -> None:
+    def _on_unused(self, target: Target, slowness: float, now: float) -> None:
         return None
 
 
-_LEARN: dict[Outcome, t.Callable[[TargetSet, Target, float, float], None]] = {
-    Outcome.SERVED: TargetSet._learn_served,
-    Outcome.FAILED: TargetSet._learn_failed,
-    Outcome.OVERLOADED: TargetSet._learn_overloaded,
-    Outcome.UNREACHABLE: TargetSet._learn_failed,
-    Outcome.UNUSED: TargetSet._learn_nothing,
+_OUTCOME_HANDLERS: dict[
+    Outcome, t.Callable[[TargetSet, Target, float, float], None]
+] = {
+    Outcome.SERVED: TargetSet._on_served,
+    Outcome.FAILED: TargetSet._on_failed,
+    Outcome.OVERLOADED: TargetSet._on_overloaded,
+    Outcome.UNREACHABLE: TargetSet._on_failed,
+    Outcome.UNUSED: TargetSet._on_unused,
 }
--- a/tests/test_allocation.py
+++ b/tests/test_allocation.py
@@ -1,4 +1,4 @@
-"""Brokers of several entries: owners that die, late grants, withdrawn asks."""
+"""Tests of slot brokers: failed owners, late grants, withdrawn and refused requests."""
 
 import random
 import typing as t
@@ -19,12 +19,12 @@
 
 NAMES = ("entry-1", "entry-2", "entry-3")
 SERVICE = "service-0"
-FAR = 1e6
+NO_DEADLINE = 1e6
 
 
 @attrs.define
-class Link:
-    """Carries messages between brokers at once, or not to those that are down."""
+class InProcessLink:
+    """Delivers messages immediately; drops those from or to entries that are down."""
 
     me: str
     brokers: dict[str, SlotBroker]
@@ -41,10 +41,10 @@
             broker.handle_ask(self.me, message, 0.0)
 
     def send_release(
-        self, owner: str, ask: int, outcome: Outcome, took_s: float
+        self, owner: str, ask_id: int, outcome: Outcome, took_s: float
     ) -> None:
         if broker := self._find(owner):
-            broker.handle_release(self.me, ask, outcome, took_s, 0.0)
+            broker.handle_release(self.me, ask_id, outcome, took_s, 0.0)
 
     def send_held(self, owner: str, slot: Slot) -> None:
         if broker := self._find(owner):
@@ -54,13 +54,13 @@
         broker = self._find(decision.ask.member)
         if broker is None:
             return
-        ask = decision.ask.ask
-        made: Slot | Refusal
+        ask_id = decision.ask.ask
+        result: Slot | Refusal
         if isinstance(decision, Granted):
-            made = Slot(ask, "", decision.vm, self.me)
+            result = Slot(ask_id, "", decision.vm, self.me)
         else:
-            made = Refusal(decision.reason, decision.retry_after_s)
-        broker.handle_decision(self.me, ask, made)
+            result = Refusal(decision.reason, decision.retry_after_s)
+        broker.handle_decision(self.me, ask_id, result)
 
     def send_probe(self, owner: str) -> None:
         self.probes.append(owner)
@@ -68,16 +68,16 @@
 
 @attrs.define
 class Entries:
-    """Three brokers that know the same fleet."""
+    """Brokers of three entries with the same fleet state, and their results."""
 
     brokers: dict[str, SlotBroker] = attrs.field(factory=dict)
     down: set[str] = attrs.field(factory=set)
-    done: list[Slot | Refusal] = attrs.field(factory=list)
+    results: list[Slot | Refusal] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         state = build_state(100)
         for name in NAMES:
-            link = Link(name, self.brokers, self.down)
+            link = InProcessLink(name, self.brokers, self.down)
             broker = SlotBroker(name, link, random.Random(1), reserve_share=0.0)
             self.brokers[name] = broker
             broker.refresh(state, 0.0)
@@ -88,23 +88,23 @@
     def owner(self) -> str:
         return self.brokers["entry-1"].find_owner(SERVICE)
 
-    def pick_other(self) -> SlotBroker:
+    def pick_non_owner(self) -> SlotBroker:
         return next(b for name, b in self.brokers.items() if name != self.owner)
 
     def acquire(self, broker: SlotBroker, count: int = 1) -> list[int]:
         return [
-            broker.acquire(SERVICE, 0, None, (), FAR, 0.0, self.done.append)
+            broker.acquire(SERVICE, 0, None, (), NO_DEADLINE, 0.0, self.results.append)
             for _ in range(count)
         ]
 
-    def count_used(self, name: str) -> int:
+    def count_in_use(self, name: str) -> int:
         scheduler = self.brokers[name]._schedulers[SERVICE]
         return len(list(scheduler.list_held()))
 
 
 @pytest.fixture
 def entries() -> Entries:
-    """Three entries."""
+    """Three connected entries, all up."""
     return Entries()
 
 
@@ -121,111 +121,111 @@
     total = count_slots(entries)
     for broker in entries.brokers.values():
         entries.acquire(broker, total)
-    granted = [item for item in entries.done if isinstance(item, Slot)]
+    granted = [item for item in entries.results if isinstance(item, Slot)]
     assert len(granted) == total
-    assert entries.count_used(entries.owner) == total
+    assert entries.count_in_use(entries.owner) == total
 
 
-def test_released_slot_goes_to_the_next(entries: Entries) -> None:
-    broker = entries.pick_other()
+def test_released_slot_is_granted_to_the_next_request(entries: Entries) -> None:
+    broker = entries.pick_non_owner()
     total = count_slots(entries)
     entries.acquire(broker, total + 1)
-    assert len(entries.done) == total
-    slot = entries.done[0]
+    assert len(entries.results) == total
+    slot = entries.results[0]
     assert isinstance(slot, Slot)
     broker.release(slot, Outcome.SERVED, 0.01, 0.0)
-    assert len(entries.done) == total + 1
+    assert len(entries.results) == total + 1
 
 
-def test_withdrawn_ask_gets_nothing(entries: Entries) -> None:
-    broker = entries.pick_other()
+def test_withdrawn_request_is_not_granted(entries: Entries) -> None:
+    broker = entries.pick_non_owner()
     total = count_slots(entries)
-    asks = entries.acquire(broker, total + 1)
-    broker.withdraw(asks[-1], 0.0)
-    slot = entries.done[0]
+    ask_ids = entries.acquire(broker, total + 1)
+    broker.withdraw(ask_ids[-1], 0.0)
+    slot = entries.results[0]
     assert isinstance(slot, Slot)
     broker.release(slot, Outcome.SERVED, 0.01, 0.0)
-    assert len(entries.done) == total
-    assert entries.count_used(entries.owner) == total - 1
+    assert len(entries.results) == total
+    assert entries.count_in_use(entries.owner) == total - 1
 
 
-def test_silent_owner_is_probed_then_replaced(entries: Entries) -> None:
-    broker = entries.pick_other()
-    dead = entries.owner
+def test_owner_that_does_not_answer_is_probed_then_replaced(entries: Entries) -> None:
+    broker = entries.pick_non_owner()
+    failed_owner = entries.owner
     entries.acquire(broker, 3)
-    entries.down.add(dead)
+    entries.down.add(failed_owner)
     entries.acquire(broker, 2)
-    assert len(entries.done) == 3
+    assert len(entries.results) == 3
     broker.tick(defaults.PROBE_AFTER_S + 0.01)
-    assert broker.find_owner(SERVICE) == dead
+    assert broker.find_owner(SERVICE) == failed_owner
     broker.tick(defaults.PROBE_AFTER_S + defaults.PROBE_TIMEOUT_S + 0.02)
-    heir = broker.find_owner(SERVICE)
-    assert heir != dead
-    assert len(entries.done) == 5
-    # the new owner counts the slots that the old one had granted
-    assert entries.count_used(heir) == 5
+    successor = broker.find_owner(SERVICE)
+    assert successor != failed_owner
+    assert len(entries.results) == 5
+    # the new owner counts the slots that the previous one granted
+    assert entries.count_in_use(successor) == 5
 
 
-def test_owner_that_is_heard_again_gets_its_slots_back(entries: Entries) -> None:
-    broker = entries.pick_other()
-    dead = entries.owner
-    broker.suspect(dead, 0.0)
+def test_recovered_owner_gets_its_slots_back(entries: Entries) -> None:
+    broker = entries.pick_non_owner()
+    failed_owner = entries.owner
+    broker.suspect(failed_owner, 0.0)
     entries.acquire(broker, 2)
-    heir = broker.find_owner(SERVICE)
-    broker.hear(dead, 1.0)
-    assert broker.find_owner(SERVICE) == dead
-    assert entries.count_used(dead) == 2
-    assert entries.count_used(heir) == 0
+    successor = broker.find_owner(SERVICE)
+    broker.hear(failed_owner, 1.0)
+    assert broker.find_owner(SERVICE) == failed_owner
+    assert entries.count_in_use(failed_owner) == 2
+    assert entries.count_in_use(successor) == 0
 
 
-def test_slot_that_nobody_waits_for_goes_back(entries: Entries) -> None:
-    broker = entries.pick_other()
-    (ask,) = entries.acquire(broker, 1)
-    slot = entries.done[0]
+def test_grant_without_a_pending_request_is_released(entries: Entries) -> None:
+    broker = entries.pick_non_owner()
+    (ask_id,) = entries.acquire(broker, 1)
+    slot = entries.results[0]
     assert isinstance(slot, Slot)
     broker.release(slot, Outcome.SERVED, 0.01, 0.0)
     owner = entries.brokers[entries.owner]
-    message = AskMessage(ask + 100, SERVICE, 0, FAR, None, ())
+    message = AskMessage(ask_id + 100, SERVICE, 0, NO_DEADLINE, None, ())
     owner.handle_ask(broker.me, message, 0.0)
-    assert entries.count_used(entries.owner) == 0
+    assert entries.count_in_use(entries.owner) == 0
 
 
-def test_lapsed_entry_frees_what_it_held(entries: Entries) -> None:
-    broker = entries.pick_other()
+def test_slots_of_a_lapsed_entry_are_freed(entries: Entries) -> None:
+    broker = entries.pick_non_owner()
     entries.acquire(broker, 4)
     owner = entries.brokers[entries.owner]
     owner.set_entries([name for name in NAMES if name != broker.me], 0.0)
-    assert entries.count_used(entries.owner) == 0
-    assert not owner._known
+    assert entries.count_in_use(entries.owner) == 0
+    assert not owner._services
 
 
-def test_late_asks_are_refused_by_the_tick(entries: Entries) -> None:
+def test_tick_refuses_requests_past_their_deadline(entries: Entries) -> None:
     owner = entries.brokers[entries.owner]
     total = count_slots(entries)
     entries.acquire(owner, total)
-    owner.acquire(SERVICE, 0, None, (), 5.0, 0.0, entries.done.append)
+    owner.acquire(SERVICE, 0, None, (), 5.0, 0.0, entries.results.append)
     owner.tick(5.1)
-    refusal = entries.done[-1]
+    refusal = entries.results[-1]
     assert isinstance(refusal, Refusal)
     assert refusal.reason is Reason.DEADLINE
-    assert len(owner._known) == total
+    assert len(owner._services) == total
 
 
 def test_same_grants_for_one_entry_as_for_three(entries: Entries) -> None:
     rng = random.Random(4)
-    alone = Entries()
-    alone.down |= set(NAMES[1:])
-    single = alone.brokers["entry-1"]
-    single.set_entries(["entry-1"], 0.0)
+    single_entry = Entries()
+    single_entry.down |= set(NAMES[1:])
+    single_broker = single_entry.brokers["entry-1"]
+    single_broker.set_entries(["entry-1"], 0.0)
     for _ in range(400):
         broker = entries.brokers[rng.choice(NAMES)]
         entries.acquire(broker)
-        alone.acquire(single)
-        _release_some(rng, entries, alone)
-        assert len(entries.done) == len(alone.done)
+        single_entry.acquire(single_broker)
+        _release_some(rng, entries, single_entry)
+        assert len(entries.results) == len(single_entry.results)
 
 
-def _release_some(rng: random.Random, entries: Entries, alone: Entries) -> None:
+def _release_some(rng: random.Random, entries: Entries, single_entry: Entries) -> None:
     held = [
         (broker, slot)
         for broker in entries.brokers.values()
@@ -235,17 +235,17 @@
         return
     broker, slot = rng.choice(held)
     broker.release(slot, Outcome.SERVED, 0.01, 0.0)
-    single = alone.brokers["entry-1"]
-    kept: t.Any = rng.choice(list(single._held.values()))
-    single.release(kept, Outcome.SERVED, 0.01, 0.0)
+    single_broker = single_entry.brokers["entry-1"]
+    other: t.Any = rng.choice(list(single_broker._held.values()))
+    single_broker.release(other, Outcome.SERVED, 0.01, 0.0)
 
 
-def test_process_that_may_not_serve_refuses_what_waits(entries: Entries) -> None:
-    broker = entries.pick_other()
+def test_process_that_may_not_serve_refuses_pending_requests(entries: Entries) -> None:
+    broker = entries.pick_non_owner()
     total = count_slots(entries)
     entries.acquire(broker, total + 5)
     broker.refuse_all(1.0)
-    refusals = entries.done[total:]
+    refusals = entries.results[total:]
     assert [item.reason for item in refusals if isinstance(item, Refusal)] == (
         [Reason.NOT_FRESH] * 5
     )
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""The slot scheduler, beside a naive one that looks at everything."""
+"""Tests of the slot scheduler, partly against a reference that scans all requests."""
 
 import random
 import typing as t
@@ -14,96 +14,96 @@
 from onyxgap.request.scheduling import SlotScheduler
 from onyxgap.request.targets import TargetSet
 
-FAR = 1e9
+NO_DEADLINE = 1e9
 
 
 def build_scheduler(
     targets: int = 4, slots: int = 2, **options: t.Any
 ) -> SlotScheduler:
-    chosen = TargetSet(random.Random(1))
-    chosen.replace((f"vm-{n}", f"zone-{n % 2}", "r", slots) for n in range(targets))
-    return SlotScheduler(chosen, **options)
+    target_set = TargetSet(random.Random(1))
+    target_set.replace((f"vm-{n}", f"zone-{n % 2}", "r", slots) for n in range(targets))
+    return SlotScheduler(target_set, **options)
 
 
 def submit(
-    scheduler: SlotScheduler, ask: int, rank: int = 0, **options: t.Any
+    scheduler: SlotScheduler, ask_id: int, rank: int = 0, **options: t.Any
 ) -> list[Decision]:
-    deadline = options.pop("deadline", FAR)
-    return scheduler.submit(Ask("e", ask, rank, deadline, **options), 0.0)
+    deadline = options.pop("deadline", NO_DEADLINE)
+    return scheduler.submit(Ask("e", ask_id, rank, deadline, **options), 0.0)
 
 
-class NaiveScheduler:
-    """Keeps lists and looks at all of them each time; no reserve, no quotas."""
+class ReferenceScheduler:
+    """Scans lists of all requests and targets; has no reserve and no quotas."""
 
     def __init__(self, slots: dict[str, int]) -> None:
         self.free = dict(slots)
         self.waiting: list[tuple[int, int]] = []
         self.held: dict[int, str] = {}
 
-    def submit(self, ask: int, rank: int) -> list[int]:
-        self.waiting.append((rank, ask))
+    def submit(self, ask_id: int, rank: int) -> list[int]:
+        self.waiting.append((rank, ask_id))
         return self._grant()
 
-    def release(self, ask: int) -> list[int]:
-        self.free[self.held.pop(ask)] += 1
+    def release(self, ask_id: int) -> list[int]:
+        self.free[self.held.pop(ask_id)] += 1
         return self._grant()
 
     def _grant(self) -> list[int]:
         granted = []
         while self.waiting and max(self.free.values()) > 0:
             self.waiting.sort()
-            _, ask = self.waiting.pop(0)
+            _, ask_id = self.waiting.pop(0)
             vm = max(self.free, key=lambda name: self.free[name])
             self.free[vm] -= 1
-            self.held[ask] = vm
-            granted.append(ask)
+            self.held[ask_id] = vm
+            granted.append(ask_id)
         return granted
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_same_grants_as_the_naive_scheduler(seed: int) -> None:
+def test_same_grants_as_the_reference_scheduler(seed: int) -> None:
     rng = random.Random(seed)
-    ours = build_scheduler(reserve_share=0.0, queue_per_slot=1000)
-    naive = NaiveScheduler({f"vm-{n}": 2 for n in range(4)})
+    scheduler = build_scheduler(reserve_share=0.0, queue_per_slot=1000)
+    reference = ReferenceScheduler({f"vm-{n}": 2 for n in range(4)})
     held: list[int] = []
-    for ask in range(300):
+    for ask_id in range(300):
         if held and rng.random() < 0.5:
-            old = held.pop(rng.randrange(len(held)))
-            mine = ours.release("e", old, Outcome.SERVED, 0.05, 0.0)
-            theirs = naive.release(old)
+            released = held.pop(rng.randrange(len(held)))
+            decisions = scheduler.release("e", released, Outcome.SERVED, 0.05, 0.0)
+            expected = reference.release(released)
         else:
             rank = rng.choice((0, 1, 1, 2))
-            # starvation protection is a difference on purpose
-            ours._urgent_run = 0
-            mine = submit(ours, ask, rank)
-            theirs = naive.submit(ask, rank)
-        granted = [d.ask.ask for d in mine if isinstance(d, Granted)]
-        assert granted == theirs
+            # the reference has no starvation protection: keep it from taking effect
+            scheduler._urgent_streak = 0
+            decisions = submit(scheduler, ask_id, rank)
+            expected = reference.submit(ask_id, rank)
+        granted = [d.ask.ask for d in decisions if isinstance(d, Granted)]
+        assert granted == expected
         held.extend(granted)
-        total, free = ours.targets.count_slots(0.0)
-        assert (total, free) == (8, sum(naive.free.values()))
+        total, free = scheduler.targets.count_slots(0.0)
+        assert (total, free) == (8, sum(reference.free.values()))
 
 
-def test_targets_are_used_evenly() -> None:
+def test_slots_are_spread_evenly_over_targets() -> None:
     scheduler = build_scheduler(targets=4, slots=4, reserve_share=0.0)
-    for ask in range(8):
-        submit(scheduler, ask)
+    for ask_id in range(8):
+        submit(scheduler, ask_id)
     assert [target.in_use for target in scheduler.targets.by_vm.values()] == [2] * 4
 
 
-def test_reserve_is_kept_for_urgent_asks() -> None:
+def test_reserve_is_kept_for_urgent_requests() -> None:
     scheduler = build_scheduler(reserve_share=0.2)
-    granted = [bool(submit(scheduler, ask, rank=1)) for ask in range(8)]
+    granted = [bool(submit(scheduler, ask_id, rank=1)) for ask_id in range(8)]
     assert granted == [True] * 6 + [False] * 2
     assert isinstance(submit(scheduler, 9, rank=0)[0], Granted)
 
 
-def test_others_are_not_starved() -> None:
+def test_urgent_requests_do_not_starve_others() -> None:
     scheduler = build_scheduler(targets=1, slots=1, queue_per_slot=1000)
     submit(scheduler, 0)
     submit(scheduler, 1, rank=1)
-    for ask in range(2, 40):
-        submit(scheduler, ask)
+    for ask_id in range(2, 40):
+        submit(scheduler, ask_id)
     order = []
     current = 0
     for _ in range(30):
@@ -112,16 +112,16 @@
     assert order.index(1) == 16
 
 
-def test_quota_holds_and_teams_take_turns() -> None:
+def test_team_at_its_quota_does_not_block_another_team() -> None:
     scheduler = build_scheduler(quotas={"a": 2}, reserve_share=0.0)
-    decisions = [submit(scheduler, ask, rank=1, team="a") for ask in range(4)]
-    assert [len(made) for made in decisions] == [1, 1, 0, 0]
+    decisions = [submit(scheduler, ask_id, rank=1, team="a") for ask_id in range(4)]
+    assert [len(items) for items in decisions] == [1, 1, 0, 0]
     assert len(submit(scheduler, 9, rank=1, team="b")) == 1
     released = scheduler.release("e", 0, Outcome.SERVED, 0.01, 0.0)
     assert [decision.ask.ask for decision in released] == [2]
 
 
-def test_hopeless_ask_is_refused_at_once_with_the_drain_time() -> None:
+def test_request_that_cannot_meet_its_deadline_is_refused_with_the_drain_time() -> None:
     scheduler = build_scheduler(targets=1, slots=1)
     scheduler.mean_s = 2.0
     submit(scheduler, 0)
@@ -132,7 +132,7 @@
     assert refused.retry_after_s == pytest.approx(4.0)
 
 
-def test_late_ask_is_refused_in_the_queue() -> None:
+def test_queued_request_past_its_deadline_is_refused() -> None:
     scheduler = build_scheduler(targets=1, slots=1)
     submit(scheduler, 0)
     submit(scheduler, 1, deadline=3.0)
@@ -142,19 +142,19 @@
     assert refused.reason is Reason.DEADLINE
 
 
-def test_retry_goes_to_another_zone() -> None:
+def test_retry_avoids_failed_vm_and_zone() -> None:
     scheduler = build_scheduler()
-    for ask in range(3):
-        (granted,) = submit(scheduler, ask, avoid=("vm-0", "zone-0"))
+    for ask_id in range(3):
+        (granted,) = submit(scheduler, ask_id, avoid=("vm-0", "zone-0"))
         assert isinstance(granted, Granted)
         assert granted.vm in ("vm-1", "vm-3")
 
 
-def test_failing_targets_are_ejected_up_to_half() -> None:
+def test_at_most_half_of_failing_targets_are_ejected() -> None:
     scheduler = build_scheduler(targets=4, slots=100, reserve_share=0.0)
-    for ask in range(200):
-        (granted,) = submit(scheduler, ask)
-        scheduler.release("e", ask, Outcome.FAILED, 0.01, 0.0)
+    for ask_id in range(200):
+        (granted,) = submit(scheduler, ask_id)
+        scheduler.release("e", ask_id, Outcome.FAILED, 0.01, 0.0)
     total, _ = scheduler.targets.count_slots(0.0)
     assert total == 200
     total, _ = scheduler.targets.count_slots(1000.0)
@@ -163,25 +163,25 @@
 
 def test_slow_target_gets_fewer_slots_and_recovers() -> None:
     scheduler = build_scheduler(targets=4, slots=8, reserve_share=0.0)
-    ask = 0
+    ask_id = 0
     for slow_s in (1.0, 0.05):
         for _ in range(800):
-            ask += 1
-            (granted,) = submit(scheduler, ask)
+            ask_id += 1
+            (granted,) = submit(scheduler, ask_id)
             assert isinstance(granted, Granted)
-            took = slow_s if granted.vm == "vm-0" else 0.05
-            scheduler.release("e", ask, Outcome.SERVED, took, 0.0)
+            took_s = slow_s if granted.vm == "vm-0" else 0.05
+            scheduler.release("e", ask_id, Outcome.SERVED, took_s, 0.0)
         limit = scheduler.targets.by_vm["vm-0"].limit
         assert limit < 8 if slow_s == 1.0 else limit == 8
 
 
-def test_dropped_member_frees_its_slots_and_asks() -> None:
+def test_removed_member_frees_its_slots_and_queued_requests() -> None:
     scheduler = build_scheduler(targets=1, slots=2)
-    scheduler.submit(Ask("dead", 1, 0, FAR), 0.0)
-    scheduler.submit(Ask("dead", 2, 0, FAR), 0.0)
-    scheduler.submit(Ask("dead", 3, 0, FAR), 0.0)
-    scheduler.submit(Ask("live", 4, 0, FAR), 0.0)
-    decisions = scheduler.drop_member("dead", 0.0)
+    scheduler.submit(Ask("dead", 1, 0, NO_DEADLINE), 0.0)
+    scheduler.submit(Ask("dead", 2, 0, NO_DEADLINE), 0.0)
+    scheduler.submit(Ask("dead", 3, 0, NO_DEADLINE), 0.0)
+    scheduler.submit(Ask("live", 4, 0, NO_DEADLINE), 0.0)
+    decisions = scheduler.remove_member("dead", 0.0)
     assert [decision.ask.ask for decision in decisions] == [4]
 
 
