--- a/src/onyxgap/request/allocation.py
+++ b/src/onyxgap/request/allocation.py
@@ -52,8 +52,8 @@
     :param link: carries messages to other entries.
     :param rng: seeded generator.
     :param reserve_share: share of the slots that only urgent requests may use.
-    :param on_busy: called when a slot request was added, so that :meth:`tick` has to
-        be called periodically again.
+    :param on_busy: called when a slot request is added; from then on
+        :meth:`tick` has to be called periodically.
     """
 
     me: str
@@ -169,7 +169,7 @@
     def set_entries(self, names: t.Iterable[str], now: float) -> None:
         """Set the live entries and reassign the ownership of services.
 
-        :param names: entries that have not lapsed and are not stopping.
+        :param names: entries that have not timed out and are not stopping.
         :param now: monotonic seconds.
         """
         entries = tuple(sorted({*names}))
@@ -379,9 +379,9 @@
         return scheduler
 
     def refresh(self, state: FleetState, now: float) -> None:
-        """Update targets and quotas from a newer fleet state, and grant free slots.
+        """Update targets and quotas from a newer fleet state; grant free slots.
 
-        :param state: the agreed state.
+        :param state: the replicated state.
         :param now: monotonic seconds.
         """
         self._state = state
--- a/src/onyxgap/request/scheduling.py
+++ b/src/onyxgap/request/scheduling.py
@@ -239,7 +239,7 @@
         return took_s / max(mean, MIN_MEAN_S)
 
     def remove_member(self, member: str, now: float) -> list[Decision]:
-        """Free the slots of a lapsed entry and remove its queued requests.
+        """Free the slots of a timed-out entry and remove its queued requests.
 
         Requests that the entry sent may still be running on the targets. A target
         that is full rejects the next request with proof that it was not started.
--- a/src/onyxgap/request/targets.py
+++ b/src/onyxgap/request/targets.py
@@ -36,7 +36,7 @@
         one below the threshold.
     :param ejections: ejections since the last served request.
     :param ejected_until: monotonic seconds at which its ejection ends.
-    :param serving: whether the fleet state lists it as serving.
+    :param serving: whether the replicated state lists it as serving.
     """
 
     vm: str
--- a/tests/test_allocation.py
+++ b/tests/test_allocation.py
@@ -68,7 +68,7 @@
 
 @attrs.define
 class Entries:
-    """Brokers of three entries with the same fleet state, and their results."""
+    """Brokers of three entries with the same replicated state, and their results."""
 
     brokers: dict[str, SlotBroker] = attrs.field(factory=dict)
     down: set[str] = attrs.field(factory=set)
@@ -190,7 +190,7 @@
     assert entries.count_in_use(entries.owner) == 0
 
 
-def test_slots_of_a_lapsed_entry_are_freed(entries: Entries) -> None:
+def test_slots_of_a_timed_out_entry_are_freed(entries: Entries) -> None:
     broker = entries.pick_non_owner()
     entries.acquire(broker, 4)
     owner = entries.brokers[entries.owner]
