--- a/src/onyxgap/request/__init__.py
+++ b/src/onyxgap/request/__init__.py
@@ -1,1 +1,1 @@
-"""Filters a caller's request passes through, from identity to answer."""
+"""Request path of an entry: identification, claims, slots, attempts and retries."""
--- a/src/onyxgap/request/catalogue.py
+++ b/src/onyxgap/request/catalogue.py
@@ -1,4 +1,4 @@
-"""What the schedulers take from the agreed state: targets and quotas."""
+"""Looks up the targets and quotas of a service in the fleet state."""
 
 import typing as t
 
@@ -10,9 +10,9 @@
 def list_targets(
     state: FleetState, service: str
 ) -> t.Iterator[tuple[str, str, str, int]]:
-    """List VM, zone, rack and slots of the serving targets of a service.
+    """Yield VM, zone, rack and number of slots of each serving target of a service.
 
-    :param state: the agreed state.
+    :param state: the fleet state.
     :param service: the service.
     """
     declared = state.find_chunk(f"services/{service}")
@@ -25,9 +25,9 @@
 
 
 def find_quotas(state: FleetState, service: str) -> dict[str, int]:
-    """Find the quotas of all teams for a service.
+    """Get the quota of each team that has one for a service.
 
-    :param state: the agreed state.
+    :param state: the fleet state.
     :param service: the service.
     """
     quotas = {}
--- a/src/onyxgap/request/identity.py
+++ b/src/onyxgap/request/identity.py
@@ -1,4 +1,4 @@
-"""First filter: find the job that a caller's request addresses."""
+"""Identifies the service and job of a request and validates its idempotency key."""
 
 from ..shared.state import FleetState
 from ..verdict import Verdict
@@ -24,13 +24,14 @@
 def identify_request(
     request: CallerRequest, state: FleetState, now: float
 ) -> IdentifiedRequest | Answer:
-    """Look up the job and settle whether it is idempotent.
+    """Look up the job and determine whether the request is idempotent.
 
-    The manifest decides; a caller's header may only make it stricter.
+    The manifest declares whether a job is idempotent. A caller may ask to treat an
+    idempotent job as non-idempotent, but not the other way round.
 
-    :param request: the request as it came.
-    :param state: the agreed state.
-    :param now: monotonic seconds.
+    :param request: the request as received.
+    :param state: the fleet state.
+    :param now: current time in monotonic seconds.
     :returns: the identified request, or the refusal.
     """
     service = state.find_chunk(f"services/{request.service}")
