--- a/src/onyxgap/request/claims.py
+++ b/src/onyxgap/request/claims.py
@@ -1,7 +1,9 @@
-"""Claims on idempotency keys in the platform's table, written in batches.
+"""Claims on idempotency keys, stored in the platform's table in batched writes.
 
-A claim is inserted before a non-idempotent request is sent. It is never
-taken over while it stands, however old, so a paused holder can do no harm.
+A claim is inserted before a non-idempotent request is sent to a target. No other
+request takes over a claim in status ``claimed``, however old it is (rows are removed
+only after the retention period). An entry that was paused while it held a claim
+therefore cannot cause a second run.
 """
 
 import base64
@@ -23,8 +25,8 @@
 from .messages import Reason
 
 PREFIX = "claim/"
-SETTLE_RETRY_S = 0.5
-IN_USE_RETRY_S = 1.0
+RESULT_RETRY_S = 0.5
+KEY_IN_USE_RETRY_AFTER_S = 1.0
 CLAIMED = "claimed"
 RELEASED = "released"
 RAN = "ran"
@@ -32,12 +34,12 @@
 
 @attrs.frozen(slots=True)
 class Claim:
-    """A claim to write.
+    """Claim of one request on an idempotency key.
 
-    :param key: row key.
-    :param token: unique token of this writer.
-    :param digest: hash of the request's body.
-    :param at: wall clock in seconds, for the retention sweep.
+    :param key: key of the row in the table.
+    :param token: random token that identifies the request that wrote the row.
+    :param digest: SHA-256 hash of the request's body, in hexadecimal.
+    :param at: wall-clock time of the claim in seconds, from which its retention counts.
     """
 
     key: str
@@ -46,10 +48,10 @@
     at: float
 
     def build_value(self, status: str, **extra: t.Any) -> dict[str, t.Any]:
-        """Build the row's value.
+        """Build the value of the row.
 
         :param status: ``claimed``, ``released`` or ``ran``.
-        :param extra: further fields.
+        :param extra: additional fields of the row.
         """
         return {
             "token": self.token,
@@ -61,7 +63,7 @@
 
 
 @attrs.define
-class _Waiter:
+class _PendingWrite:
     put: Put
     done: anyio.Event = attrs.field(factory=anyio.Event)
     outcome: WriteOutcome = WriteOutcome.UNKNOWN
@@ -69,28 +71,29 @@
 
 @attrs.define
 class BatchWriter:
-    """Collects conditional writes of independent rows into transactions.
+    """Batches conditional writes of independent rows into transactions.
 
     :param store: the platform's table.
-    :param window_s: how long writes are collected, in seconds.
+    :param window_s: time for which writes are collected into a batch, in seconds.
+    :param writes: number of transactions sent.
     """
 
     store: Store
     window_s: float = defaults.CLAIM_BATCH_WINDOW_S
     writes: int = 0
-    _queue: list[_Waiter] = attrs.field(factory=list)
+    _queue: list[_PendingWrite] = attrs.field(factory=list)
     _wake: anyio.Event = attrs.field(factory=anyio.Event)
 
     async def write(self, put: Put) -> WriteOutcome:
-        """Write one row with others and wait for its outcome.
+        """Add a write to a batch and wait for its outcome.
 
         :param put: the conditional write.
         """
-        waiter = _Waiter(put)
-        self._queue.append(waiter)
+        write = _PendingWrite(put)
+        self._queue.append(write)
         self._wake.set()
-        await waiter.done.wait()
-        return waiter.outcome
+        await write.done.wait()
+        return write.outcome
 
     async def run(self) -> None:
         """Send batches until cancelled."""
@@ -101,44 +104,50 @@
                 batch = self._take_batch()
                 group.start_soon(self._send, batch)
 
-    def _take_batch(self) -> list[_Waiter]:
-        batch: list[_Waiter] = []
-        rest: list[_Waiter] = []
+    def _take_batch(self) -> list[_PendingWrite]:
+        batch: list[_PendingWrite] = []
+        remaining: list[_PendingWrite] = []
         keys: set[str] = set()
-        for waiter in self._queue:
-            fits = len(batch) < defaults.CLAIM_BATCH_MAX and waiter.put.key not in keys
-            (batch if fits else rest).append(waiter)
-            keys.add(waiter.put.key)
-        self._queue = rest
-        if not rest:
+        for write in self._queue:
+            fits = len(batch) < defaults.CLAIM_BATCH_MAX and write.put.key not in keys
+            (batch if fits else remaining).append(write)
+            keys.add(write.put.key)
+        self._queue = remaining
+        if not remaining:
             self._wake = anyio.Event()
         return batch
 
-    async def _send(self, batch: list[_Waiter]) -> None:
+    async def _send(self, batch: list[_PendingWrite]) -> None:
         while batch:
             self.writes += 1
-            result = await self.store.transact([waiter.put for waiter in batch])
-            refused = set(result.conflicts)
-            if result.outcome is WriteOutcome.NOT_APPLIED and refused:
-                # the others are independent: send them again without these
-                _finish([w for w in batch if w.put.key in refused], result.outcome)
-                batch = [w for w in batch if w.put.key not in refused]
+            result = await self.store.transact([write.put for write in batch])
+            conflicts = set(result.conflicts)
+            if result.outcome is WriteOutcome.NOT_APPLIED and conflicts:
+                # one conflict fails the whole transaction; the other rows do not
+                # depend on it, so they are sent again without it
+                _finish(
+                    [write for write in batch if write.put.key in conflicts],
+                    result.outcome,
+                )
+                batch = [write for write in batch if write.put.key not in conflicts]
                 continue
             _finish(batch, result.outcome)
             return
 
 
-def _finish(waiters: t.Iterable[_Waiter], outcome: WriteOutcome) -> None:
-    for waiter in waiters:
-        waiter.outcome = outcome
-        waiter.done.set()
+def _finish(writes: t.Iterable[_PendingWrite], outcome: WriteOutcome) -> None:
+    for write in writes:
+        write.outcome = outcome
+        write.done.set()
 
 
 @attrs.define
 class ClaimKeeper:
-    """Claims keys before a request runs and settles them afterwards.
+    """Claims idempotency keys and records the results of the requests.
 
     :param store: the platform's table and object store.
+    :param unsettled: by token, each claim whose result is not yet stored, with the new
+        value of its row.
     """
 
     store: Store
@@ -150,65 +159,66 @@
         self.writer = BatchWriter(self.store)
 
     async def claim(self, claim: Claim) -> Answer | None:
-        """Claim a key; only then may the request be sent.
+        """Claim a key. The request may be sent only if this returns ``None``.
 
         :param claim: the claim.
-        :returns: ``None`` when it is ours, else the final answer.
+        :returns: ``None`` if the key was claimed, else the final answer.
         """
         with anyio.move_on_after(defaults.CLAIM_TIMEOUT_S):
             try:
                 return await self._claim(claim)
             except (PlatformUnavailableError, UnknownOutcomeError):
                 pass
-        # nothing has been sent, so whatever became of the row is undone
-        self._settle_later(claim, RELEASED)
-        return _refuse_store_out()
+        # the request was not sent, so the row is released in case it was written
+        self._queue_result(claim, RELEASED)
+        return _refuse_store_unavailable()
 
     async def _claim(self, claim: Claim) -> Answer | None:
         put = Put(claim.key, claim.build_value(CLAIMED), ABSENT)
         outcome = await self.writer.write(put)
         if outcome is WriteOutcome.UNKNOWN:
-            # the same insert again either applies or meets our own row
+            # the repeated insert either applies or conflicts with the row that the
+            # first one wrote, which is recognized by its token
             outcome = await self.writer.write(put)
         if outcome is WriteOutcome.APPLIED:
             return None
         if outcome is WriteOutcome.UNKNOWN:
             raise UnknownOutcomeError(claim.key)
-        return await self._meet_row(claim)
+        return await self._check_existing(claim)
 
-    async def _meet_row(self, claim: Claim) -> Answer | None:
+    async def _check_existing(self, claim: Claim) -> Answer | None:
         row = await self.store.get(claim.key)
         if not row:
-            return _refuse_in_use()
+            return _refuse_key_in_use()
         if row.value["token"] == claim.token:
             return None
         if row.value["digest"] != claim.digest:
             return Answer(Verdict.NOT_RUN, 422, reason=Reason.KEY_REUSED)
-        return await _MEET[row.value["status"]](self, claim, row)
+        return await _ROW_HANDLERS[row.value["status"]](self, claim, row)
 
-    async def _meet_claimed(self, claim: Claim, row: Row) -> Answer | None:
-        return _refuse_in_use()
+    async def _handle_claimed(self, claim: Claim, row: Row) -> Answer | None:
+        return _refuse_key_in_use()
 
-    async def _meet_ran(self, claim: Claim, row: Row) -> Answer | None:
+    async def _handle_ran(self, claim: Claim, row: Row) -> Answer | None:
         try:
             return await self._load_answer(row.value)
         except PlatformUnavailableError:
-            return _refuse_in_use()
+            return _refuse_key_in_use()
 
-    async def _meet_released(self, claim: Claim, row: Row) -> Answer | None:
+    async def _handle_released(self, claim: Claim, row: Row) -> Answer | None:
         put = Put(claim.key, claim.build_value(CLAIMED), row.version)
         outcome = await self.writer.write(put)
         if outcome is WriteOutcome.APPLIED:
             return None
         if outcome is WriteOutcome.UNKNOWN:
             raise UnknownOutcomeError(claim.key)
-        return await self._recheck(claim)
+        return await self._check_token(claim)
 
-    async def _recheck(self, claim: Claim) -> Answer | None:
+    async def _check_token(self, claim: Claim) -> Answer | None:
         row = await self.store.get(claim.key)
         if row and row.value["token"] == claim.token:
             return None
-        return _refuse_in_use()
+        return _refuse_key_in_use()
 
     async def _load_answer(self, value: dict[str, t.Any]) -> Answer:
         body = base64.b64decode(value.get("body", ""))
@@ -217,18 +227,20 @@
         headers = tuple((name, text) for name, text in value["headers"])
         return Answer(Verdict.RAN, value["http"], headers, body, vm=value["vm"])
 
-    def settle(self, claim: Claim, answer: Answer) -> None:
-        """Record how a claimed request ended, in the background.
+    def record_result(self, claim: Claim, answer: Answer) -> None:
+        """Queue the result of a request with a claim, to be stored in the background.
+
+        A request that may have run keeps its claim, so that its key is not used again.
 
         :param claim: the claim.
         :param answer: the final answer.
         """
         if answer.verdict is Verdict.NOT_RUN:
-            self._settle_later(claim, RELEASED)
+            self._queue_result(claim, RELEASED)
         elif answer.verdict is Verdict.RAN:
-            self._settle_later(claim, RAN, answer)
+            self._queue_result(claim, RAN, answer)
 
-    def _settle_later(
+    def _queue_result(
         self, claim: Claim, status: str, answer: Answer | None = None
     ) -> None:
         extra: dict[str, t.Any] = {}
@@ -243,7 +255,7 @@
         self._wake.set()
 
     async def run(self) -> None:
-        """Write batches and settle ended claims until cancelled."""
+        """Write batches and store results until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self.writer.run)
             while True:
@@ -251,53 +263,58 @@
                 self._wake = anyio.Event()
                 await self.settle_once()
                 if self.unsettled:
-                    await anyio.sleep(SETTLE_RETRY_S)
+                    await anyio.sleep(RESULT_RETRY_S)
                     self._wake.set()
 
     async def settle_once(self) -> None:
-        """Try to settle each ended claim once."""
+        """Try once to store each pending result."""
         async with anyio.create_task_group() as group:
             for token, (claim, value) in list(self.unsettled.items()):
-                group.start_soon(self._settle, token, claim, value)
+                group.start_soon(self._store_result, token, claim, value)
 
-    async def _settle(self, token: str, claim: Claim, value: dict[str, t.Any]) -> None:
+    async def _store_result(
+        self, token: str, claim: Claim, value: dict[str, t.Any]
+    ) -> None:
         try:
             row = await self.store.get(claim.key)
-            value = await self._pack_body(value)
+            value = await self._encode_body(value)
         except PlatformUnavailableError:
             return
         if not row:
-            # a lost insert may still arrive: fill its place so that it cannot
-            expect = ABSENT
+            # an insert with an unknown outcome may still arrive; it cannot apply
+            # once this row exists
+            expected_version = ABSENT
         elif row.value["token"] != token or row.value["status"] != CLAIMED:
             self.unsettled.pop(token, None)
             return
         else:
-            expect = row.version
-        outcome = await self.writer.write(Put(claim.key, value, expect))
+            expected_version = row.version
+        outcome = await self.writer.write(Put(claim.key, value, expected_version))
         if outcome is WriteOutcome.APPLIED:
             self.unsettled.pop(token, None)
 
-    async def _pack_body(self, value: dict[str, t.Any]) -> dict[str, t.Any]:
+    async def _encode_body(self, value: dict[str, t.Any]) -> dict[str, t.Any]:
         body = value.get("body")
         if not isinstance(body, bytes):
             return value
-        packed = {key: item for key, item in value.items() if key != "body"}
+        encoded = {key: item for key, item in value.items() if key != "body"}
         if len(body) > defaults.CLAIM_ANSWER_BYTES:
-            packed["object"] = await self.store.put_object(body)
+            encoded["object"] = await self.store.put_object(body)
         else:
-            packed["body"] = base64.b64encode(body).decode()
-        return packed
+            encoded["body"] = base64.b64encode(body).decode()
+        return encoded
 
 
-_MEET: dict[str, t.Callable[[ClaimKeeper, Claim, Row], t.Awaitable[Answer | None]]] = {
-    CLAIMED: ClaimKeeper._meet_claimed,
-    RELEASED: ClaimKeeper._meet_released,
-    RAN: ClaimKeeper._meet_ran,
+_ROW_HANDLERS: dict[
+    str, t.Callable[[ClaimKeeper, Claim, Row], t.Awaitable[Answer | None]]
+] = {
+    CLAIMED: ClaimKeeper._handle_claimed,
+    RELEASED: ClaimKeeper._handle_released,
+    RAN: ClaimKeeper._handle_ran,
 }
 
 
-def _refuse_store_out() -> Answer:
+def _refuse_store_unavailable() -> Answer:
     return Answer(
         Verdict.NOT_RUN,
         503,
@@ -306,10 +323,10 @@
     )
 
 
-def _refuse_in_use() -> Answer:
+def _refuse_key_in_use() -> Answer:
     return Answer(
         Verdict.MAY_HAVE_RUN,
         409,
         reason=Reason.KEY_IN_USE,
-        retry_after_s=IN_USE_RETRY_S,
+        retry_after_s=KEY_IN_USE_RETRY_AFTER_S,
     )
--- a/src/onyxgap/request/pipe.py
+++ b/src/onyxgap/request/pipe.py
@@ -1,4 +1,4 @@
-"""The request pipe: identify, claim, get a slot, dispatch, judge, answer."""
+"""Request pipeline: identification, claim, slot, attempts and final answer."""
 
 import hashlib
 import random
@@ -38,30 +38,33 @@
 }
 
 
-class Serving(t.Protocol):
-    """What the pipe asks of its process."""
+class ServingNode(t.Protocol):
+    """State of this process that the pipeline depends on."""
 
     @property
     def state(self) -> FleetState:
-        """The agreed state as last folded."""
+        """The fleet state as of the last applied journal entry."""
 
     def may_serve(self) -> bool:
-        """Tell whether this process knows enough of the present."""
+        """Return whether the fleet state is loaded and recent enough to serve."""
 
 
 @attrs.define
 class RequestPipe:
-    """Takes callers' requests to their final answers.
-
-    :param serving: the process.
-    :param broker: gets slots.
-    :param claims: keeps idempotency keys.
-    :param client: carries out one attempt.
-    :param clocks: the clocks.
-    :param rng: seeded generator for writer tokens.
+    """Runs callers' requests on targets and builds the final answers.
+
+    :param node: fleet state of this process.
+    :param broker: requests and releases slots of targets.
+    :param claims: claims idempotency keys and stores results.
+    :param client: makes single attempts.
+    :param clocks: monotonic and wall clock.
+    :param rng: seeded generator for the tokens of claims.
+    :param budget: limits retries.
+    :param in_flight: number of requests in flight.
+    :param retries: number of retries made.
     """
 
-    serving: Serving
+    node: ServingNode
     broker: SlotBroker
     claims: ClaimKeeper
     client: TargetClient
@@ -72,31 +75,32 @@
     retries: int = 0
 
     async def answer(self, request: CallerRequest) -> Answer:
-        """Take one request to its final answer.
+        """Run one request, with retries, and return its final answer.
 
-        :param request: the request as it came.
+        :param request: the request as received.
         """
         now = self.clocks.read_monotonic()
-        identified = identify_request(request, self.serving.state, now)
+        identified = identify_request(request, self.node.state, now)
         if isinstance(identified, Answer):
             return identified
-        if not self.serving.may_serve():
+        if not self.node.may_serve():
             return _refuse_not_fresh()
         self.in_flight += 1
         try:
-            return await self._answer_claimed(identified)
+            return await self._answer_identified(identified)
         finally:
             self.in_flight -= 1
 
-    async def _answer_claimed(self, request: IdentifiedRequest) -> Answer:
+    async def _answer_identified(self, request: IdentifiedRequest) -> Answer:
         if request.idempotent:
             return await self._run(request)
-        # a caller that leaves and asks again finds the answer under its key
+        # not cancelled when the caller disconnects: a retry with the same key then
+        # gets the stored answer
         with anyio.CancelScope(shield=True):
-            answer = await self._answer_once(request)
+            answer = await self._answer_with_claim(request)
         return answer
 
-    async def _answer_once(self, request: IdentifiedRequest) -> Answer:
+    async def _answer_with_claim(self, request: IdentifiedRequest) -> Answer:
         claim = self._build_claim(request)
         refusal = await self.claims.claim(claim)
         if refusal is not None:
@@ -105,7 +109,7 @@
         try:
             answer = await self._run(request)
         finally:
-            self.claims.settle(claim, answer)
+            self.claims.record_result(claim, answer)
         return answer
 
     def _build_claim(self, request: IdentifiedRequest) -> Claim:
@@ -118,15 +122,15 @@
         )
 
     async def _run(self, request: IdentifiedRequest) -> Answer:
-        self.budget.earn()
+        self.budget.deposit()
         verdict = Verdict.NOT_RUN
         avoid: tuple[str, ...] = ()
         attempts = 0
         while True:
-            slot = await self._acquire(request, avoid)
+            slot = await self._acquire_slot(request, avoid)
             if isinstance(slot, Refusal):
                 return _answer_refusal(slot, verdict)
-            exchange = await self._attempt(request, slot)
+            exchange = await self._make_attempt(request, slot)
             attempts += 1
             verdict = join_verdicts(verdict, exchange.verdict)
             remaining = request.deadline - self.clocks.read_monotonic()
@@ -138,18 +142,18 @@
             avoid = self._extend_avoid(avoid, slot.vm)
 
     def _extend_avoid(self, avoid: tuple[str, ...], vm: str) -> tuple[str, ...]:
-        record = self.serving.state.vms.get(vm)
+        record = self.node.state.vms.get(vm)
         return (*avoid, vm, record.zone) if record else (*avoid, vm)
 
-    async def _acquire(
+    async def _acquire_slot(
         self, request: IdentifiedRequest, avoid: tuple[str, ...]
     ) -> Slot | Refusal:
-        done = anyio.Event()
-        result: list[Slot | Refusal] = []
+        decided = anyio.Event()
+        decisions: list[Slot | Refusal] = []
 
-        def finish(decision: Slot | Refusal) -> None:
-            result.append(decision)
-            done.set()
+        def record_decision(decision: Slot | Refusal) -> None:
+            decisions.append(decision)
+            decided.set()
 
         now = self.clocks.read_monotonic()
         ask = self.broker.acquire(
@@ -159,27 +163,27 @@
             avoid=avoid,
             deadline=request.deadline,
             now=now,
-            on_done=finish,
+            on_done=record_decision,
         )
         try:
             with anyio.move_on_after(max(0.0, request.deadline - now)):
-                await done.wait()
+                await decided.wait()
         except BaseException:
-            self._abandon(ask, result)
+            self._cancel_slot_request(ask, decisions)
             raise
-        if result:
-            return result[0]
-        self._abandon(ask, result)
+        if decisions:
+            return decisions[0]
+        self._cancel_slot_request(ask, decisions)
         return Refusal(Reason.DEADLINE, defaults.MIN_RETRY_AFTER_S)
 
-    def _abandon(self, ask: int, result: list[Slot | Refusal]) -> None:
+    def _cancel_slot_request(self, ask: int, decisions: list[Slot | Refusal]) -> None:
         now = self.clocks.read_monotonic()
         self.broker.withdraw(ask, now)
-        for decision in result:
+        for decision in decisions:
             if isinstance(decision, Slot):
                 self.broker.release(decision, Outcome.UNUSED, 0.0, now)
 
-    async def _attempt(self, request: IdentifiedRequest, slot: Slot) -> Exchange:
+    async def _make_attempt(self, request: IdentifiedRequest, slot: Slot) -> Exchange:
         started = self.clocks.read_monotonic()
         exchange = Exchange(Verdict.MAY_HAVE_RUN, Outcome.UNUSED)
         try:
@@ -192,9 +196,10 @@
     async def _send(
         self, request: IdentifiedRequest, slot: Slot, now: float
     ) -> Exchange:
-        record = self.serving.state.vms.get(slot.vm)
-        # the process may have been paused since the slot was granted
-        if not self.serving.may_serve():
+        record = self.node.state.vms.get(slot.vm)
+        # the process may have been paused since the slot was granted, so the state
+        # is checked again
+        if not self.node.may_serve():
             return Exchange(Verdict.NOT_RUN, Outcome.UNUSED, reason=Reason.NOT_FRESH)
         if record is None or record.state is not VmState.SERVING:
             return Exchange(Verdict.NOT_RUN, Outcome.UNUSED, reason=Reason.NO_TARGET)
--- a/src/onyxgap/request/retries.py
+++ b/src/onyxgap/request/retries.py
@@ -1,4 +1,4 @@
-"""Decides whether an attempt is followed by another, within a budget."""
+"""Decides whether a request is retried, within a retry budget."""
 
 import attrs
 
@@ -9,22 +9,25 @@
 
 @attrs.define
 class RetryBudget:
-    """Keeps retries below a share of the first attempts.
+    """Limits retries to a share of the first attempts, as a token bucket.
 
-    :param share: retries earned by each first attempt.
-    :param burst: most retries saved up.
+    :param share: tokens added by each first attempt; a retry costs one token.
+    :param burst: most tokens that the bucket holds.
     """
 
     share: float = defaults.RETRY_BUDGET_SHARE
     burst: float = defaults.RETRY_BUDGET_BURST
     _tokens: float = defaults.RETRY_BUDGET_BURST
 
-    def earn(self) -> None:
-        """Count a first attempt."""
+    def deposit(self) -> None:
+        """Add the tokens for one first attempt."""
         self._tokens = min(self.burst, self._tokens + self.share)
 
-    def spend(self) -> bool:
-        """Take one retry from the budget if there is one."""
+    def try_withdraw(self) -> bool:
+        """Take the token for one retry if the bucket holds one.
+
+        :returns: whether a token was taken.
+        """
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -38,17 +41,17 @@
     remaining_s: float,
     budget: RetryBudget,
 ) -> bool:
-    """Tell whether to try again, and take the retry from the budget if so.
+    """Decide whether to retry, and take a token from the budget if so.
 
-    :param verdict: how the attempt ended.
-    :param idempotent: whether the request may run twice.
+    :param verdict: verdict of the latest attempt.
+    :param idempotent: whether the request may run more than once.
     :param attempts: attempts made so far.
     :param remaining_s: seconds left until the deadline.
-    :param budget: the entry's budget.
+    :param budget: retry budget of this entry.
     """
     return (
         may_retry(verdict, idempotent)
         and attempts < defaults.MAX_ATTEMPTS
         and remaining_s > 0
-        and budget.spend()
+        and budget.try_withdraw()
     )
