--- a/src/onyxgap/request/catalogue.py
+++ b/src/onyxgap/request/catalogue.py
@@ -1,4 +1,4 @@
-"""Looks up the targets and quotas of a service in the fleet state."""
+"""Looks up the targets and quotas of a service in the replicated state."""
 
 import typing as t
 
@@ -12,7 +12,7 @@
 ) -> t.Iterator[tuple[str, str, str, int]]:
     """Yield VM, zone, rack and number of slots of each serving target of a service.
 
-    :param state: the fleet state.
+    :param state: the replicated state.
     :param service: the service.
     """
     declared = state.find_chunk(f"services/{service}")
@@ -27,7 +27,7 @@
 def find_quotas(state: FleetState, service: str) -> dict[str, int]:
     """Get the quota of each team that has one for a service.
 
-    :param state: the fleet state.
+    :param state: the replicated state.
     :param service: the service.
     """
     quotas = {}
--- a/src/onyxgap/request/identity.py
+++ b/src/onyxgap/request/identity.py
@@ -30,7 +30,7 @@
     idempotent job as non-idempotent, but not the other way round.
 
     :param request: the request as received.
-    :param state: the fleet state.
+    :param state: the replicated state.
     :param now: current time in monotonic seconds.
     :returns: the identified request, or the refusal.
     """
--- a/src/onyxgap/request/pipe.py
+++ b/src/onyxgap/request/pipe.py
@@ -43,17 +43,17 @@
 
     @property
     def state(self) -> FleetState:
-        """The fleet state as of the last applied journal entry."""
+        """The replicated state as of the last applied journal entry."""
 
     def may_serve(self) -> bool:
-        """Return whether the fleet state is loaded and recent enough to serve."""
+        """Return whether the replicated state is loaded and fresh enough to serve."""
 
 
 @attrs.define
 class RequestPipe:
     """Runs callers' requests on targets and builds the final answers.
 
-    :param node: fleet state of this process.
+    :param node: provides the replicated state as known to this process.
     :param broker: requests and releases slots of targets.
     :param claims: claims idempotency keys and stores results.
     :param client: makes single attempts.
@@ -156,7 +156,7 @@
             decided.set()
 
         now = self.clocks.read_monotonic()
-        ask = self.broker.acquire(
+        ask_id = self.broker.acquire(
             service=request.caller.service,
             rank=request.job.priority.rank,
             team=request.job.team,
@@ -169,16 +169,18 @@
             with anyio.move_on_after(max(0.0, request.deadline - now)):
                 await decided.wait()
         except BaseException:
-            self._cancel_slot_request(ask, decisions)
+            self._cancel_slot_request(ask_id, decisions)
             raise
         if decisions:
             return decisions[0]
-        self._cancel_slot_request(ask, decisions)
+        self._cancel_slot_request(ask_id, decisions)
         return Refusal(Reason.DEADLINE, defaults.MIN_RETRY_AFTER_S)
 
-    def _cancel_slot_request(self, ask: int, decisions: list[Slot | Refusal]) -> None:
+    def _cancel_slot_request(
+        self, ask_id: int, decisions: list[Slot | Refusal]
+    ) -> None:
         now = self.clocks.read_monotonic()
-        self.broker.withdraw(ask, now)
+        self.broker.withdraw(ask_id, now)
         for decision in decisions:
             if isinstance(decision, Slot):
                 self.broker.release(decision, Outcome.UNUSED, 0.0, now)
