--- a/src/onyxgap/request/claims.py
+++ b/src/onyxgap/request/claims.py
@@ -146,8 +146,8 @@
     """Claims idempotency keys and records the results of the requests.
 
     :param store: the platform's table and object store.
-    :param unsettled: by token, each claim whose result is not yet stored, with the new
-        value of its row.
+    :param unsettled: claims whose results are not yet stored, by token,
+        each with the new value of its row.
     """
 
     store: Store
