--- a/src/onyxgap/fleet/__init__.py
+++ b/src/onyxgap/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Filters that bring the fleet in line with the manifest."""
+"""Pipeline that reconciles the fleet with the manifest."""
--- a/src/onyxgap/fleet/learning.py
+++ b/src/onyxgap/fleet/learning.py
@@ -1,18 +1,21 @@
-"""Learned sizes and run times of tasks, since declared ones are far off."""
+"""Estimates sizes and run times of tasks from past attempts.
+
+Declared sizes and run times are far from what tasks use.
+"""
 
 import attrs
 
 from ..manifest import Task
 from ..shared.records import TaskHistory
 
-QUANTILE = 0.9
+SIZE_QUANTILE = 0.9
 MIN_SAMPLES = 3
-MARGIN = 1.1
+SIZE_MARGIN = 1.1
 
 
 @attrs.frozen(slots=True)
-class Size:
-    """What one attempt is expected to need.
+class TaskSize:
+    """Estimated resources and run time of one attempt.
 
     :param cores: processor cores.
     :param memory_gb: memory in GB.
@@ -24,27 +27,33 @@
     run_time_s: float
 
 
-def pick_quantile(samples: list[float], share: float) -> float:
-    """Pick a quantile by rank.
+def compute_quantile(samples: list[float], quantile: float) -> float:
+    """Return the sample at a quantile, without interpolation.
 
     :param samples: at least one sample.
-    :param share: between 0 and 1.
+    :param quantile: the quantile, between 0 and 1.
     """
     ordered = sorted(samples)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))]
+
 
+def estimate_size(task: Task, history: TaskHistory | None) -> TaskSize:
+    """Estimate the size and run time of the next attempt of a task.
 
-def estimate_size(task: Task, history: TaskHistory | None) -> Size:
-    """Estimate what the next attempt needs.
+    With fewer than ``MIN_SAMPLES`` measured attempts, the declared values are used.
+    Otherwise it is a high quantile of the measured values; cores and memory get a
+    safety margin, the run time gets none.
 
-    :param task: its declaration.
-    :param history: what earlier attempts used, or ``None``.
+    :param task: the task as declared in the manifest.
+    :param history: history of ended attempts, or ``None``.
     """
     if history is None or len(history.sizes) < MIN_SAMPLES:
-        return Size(float(task.cores), float(task.memory_gb), float(task.run_time_s))
+        return TaskSize(
+            float(task.cores), float(task.memory_gb), float(task.run_time_s)
+        )
     cores, memory, run_time = zip(*history.sizes, strict=True)
-    return Size(
-        cores=MARGIN * pick_quantile(list(cores), QUANTILE),
-        memory_gb=MARGIN * pick_quantile(list(memory), QUANTILE),
-        run_time_s=pick_quantile(list(run_time), QUANTILE),
+    return TaskSize(
+        cores=SIZE_MARGIN * compute_quantile(list(cores), SIZE_QUANTILE),
+        memory_gb=SIZE_MARGIN * compute_quantile(list(memory), SIZE_QUANTILE),
+        run_time_s=compute_quantile(list(run_time), SIZE_QUANTILE),
     )
--- a/src/onyxgap/fleet/placement.py
+++ b/src/onyxgap/fleet/placement.py
@@ -1,4 +1,4 @@
-"""Places tasks on a pool's workers: urgent first, by preemption if need be."""
+"""Places tasks on a pool's workers by priority; urgent tasks may preempt others."""
 
 import collections
 import typing as t
@@ -18,14 +18,14 @@
 from ..shared.records import VmState
 from ..shared.state import FleetState
 from .diagnosis import find_unrunnable
-from .learning import Size
+from .learning import TaskSize
 from .learning import estimate_size
 from .messages import Finding
 from .messages import Step
 from .messages import StopOrder
 
-LEAVING_STATES = (VmState.DRAINING, VmState.QUARANTINED)
-_ENDED = {
+EVACUATION_STATES = (VmState.DRAINING, VmState.QUARANTINED)
+_OUTCOMES = {
     TaskStatus.DONE: "done",
     TaskStatus.FAILED: "failed",
     TaskStatus.STOPPED: "stopped",
@@ -35,11 +35,11 @@
 
 @attrs.define(slots=True)
 class Worker:
-    """Room on one VM.
+    """Free capacity of one serving VM and the attempts that run on it.
 
     :param cores: free cores.
-    :param memory_gb: free memory.
-    :param attempts: what runs there.
+    :param memory_gb: free memory in GB.
+    :param attempts: attempts that run on the VM.
     """
 
     vm: str
@@ -49,18 +49,18 @@
     memory_gb: float
     attempts: list[Attempt] = attrs.field(factory=list)
 
-    def fits(self, size: Size) -> bool:
-        """Tell whether there is room.
+    def fits(self, size: TaskSize) -> bool:
+        """Tell whether an attempt of a given size fits into the free capacity.
 
-        :param size: what is needed.
+        :param size: size of the attempt.
         """
         return self.cores >= size.cores and self.memory_gb >= size.memory_gb
 
-    def change(self, cores: float, memory_gb: float) -> None:
-        """Add to the free room; negative numbers take from it.
+    def adjust_free(self, cores: float, memory_gb: float) -> None:
+        """Change the free capacity by signed amounts.
 
-        :param cores: processor cores.
-        :param memory_gb: memory in GB.
+        :param cores: processor cores to add.
+        :param memory_gb: memory to add, in GB.
         """
         self.cores += cores
         self.memory_gb += memory_gb
@@ -68,42 +68,45 @@
 
 @attrs.define
 class TeamCores:
-    """Cores that each team's tasks hold, counted once a pass and kept up.
+    """Cores in use by each team.
 
-    :param state: the agreed state.
+    They are counted once per reconciliation pass, on first use, and updated as
+    attempts are started.
+
+    :param state: the replicated state.
     """
 
     state: FleetState
-    _used: dict[str, float] | None = None
+    _cores_by_team: dict[str, float] | None = None
 
-    def _read(self) -> dict[str, float]:
-        if self._used is None:
-            self._used = collections.defaultdict(float)
+    def _load(self) -> dict[str, float]:
+        if self._cores_by_team is None:
+            self._cores_by_team = collections.defaultdict(float)
             for attempt in self.state.attempts.values():
                 task = self.state.find_chunk(f"tasks/{attempt.task}")
                 if task is not None and task.team is not None:
-                    self._used[task.team] += attempt.cores
-        return self._used
+                    self._cores_by_team[task.team] += attempt.cores
+        return self._cores_by_team
 
     def count(self, team: str) -> float:
-        """Count the cores of one team.
+        """Return the number of cores that a team uses.
 
-        :param team: the team.
+        :param team: name of the team.
         """
-        return self._read().get(team, 0.0)
+        return self._load().get(team, 0.0)
 
     def add(self, team: str | None, cores: float) -> None:
-        """Count cores that a team has just been given.
+        """Add the cores of a newly started attempt.
 
-        :param team: the team, or ``None``.
-        :param cores: how many.
+        :param team: name of the team, or ``None`` for a task without a team.
+        :param cores: number of cores.
         """
         if team is not None:
-            self._read()[team] += cores
+            self._load()[team] += cores
 
 
 @attrs.define
-class _Pass:
+class _PlacementPass:
     state: FleetState
     step: Step
     tasks: dict[str, Task]
@@ -112,38 +115,41 @@
     team_cores: TeamCores
 
 
-def settle_attempts(
+def reconcile_attempts(
     state: FleetState,
     attempts: t.Iterable[Attempt],
     listed: t.Mapping[str, ListedTask],
     step: Step,
 ) -> None:
-    """End the attempts that the platform shows as ended; repeat open orders.
+    """Reconcile the recorded attempts of a pool with those that the platform reports.
+
+    Attempts that have ended on the platform are recorded as ended. Stop orders are
+    repeated until the attempt has ended, start orders until it is listed.
 
-    :param state: the agreed state.
+    :param state: the replicated state.
     :param attempts: attempts of the pool.
-    :param listed: what the platform reports, by attempt.
-    :param step: collects the outcome.
+    :param listed: attempts reported by the platform, by name.
+    :param step: result of the pass for this pool; events and orders are added to it.
     """
     for attempt in attempts:
-        seen = listed.get(attempt.attempt)
-        if seen is not None and seen.status in _ENDED:
+        reported = listed.get(attempt.attempt)
+        if reported is not None and reported.status in _OUTCOMES:
             step.events.append(
                 ev.TaskEnded(
                     attempt=attempt.attempt,
-                    outcome=_ENDED[seen.status],
-                    cores=seen.cores,
-                    memory_gb=seen.memory_gb,
-                    run_time_s=seen.run_time_s,
+                    outcome=_OUTCOMES[reported.status],
+                    cores=reported.cores,
+                    memory_gb=reported.memory_gb,
+                    run_time_s=reported.run_time_s,
                 )
             )
         elif attempt.stopping:
             step.orders.append(StopOrder(attempt.attempt))
-        elif seen is None:
-            step.orders.append(_build_order(state, attempt))
+        elif reported is None:
+            step.orders.append(_build_start_order(state, attempt))
 
 
-def _build_order(state: FleetState, attempt: Attempt) -> StartTask:
+def _build_start_order(state: FleetState, attempt: Attempt) -> StartTask:
     task = state.find_chunk(f"tasks/{attempt.task}")
     return StartTask(
         attempt=attempt.attempt,
@@ -161,38 +167,44 @@
     team_cores: TeamCores,
     step: Step,
 ) -> None:
-    """Bring the tasks of one pool in line with the manifest.
+    """Reconcile the tasks of one pool with the manifest.
 
-    :param pool: the pool.
-    :param state: the agreed state.
-    :param listed: attempts as the platform reports them.
-    :param team_cores: cores in use by team, shared by the pools of the pass.
-    :param step: what the pass has decided for the pool so far; extended.
+    :param pool: name of the pool.
+    :param state: the replicated state.
+    :param listed: attempts reported by the platform, by name.
+    :param team_cores: cores in use by each team, shared by all pools of the pass.
+    :param step: result of the pass for this pool so far; extended in place.
     """
-    touched = {getattr(event, "vm", "") for event in step.events}
+    changed_vms = {getattr(event, "vm", "") for event in step.events}
     attempts = list(state.attempts_in.get(pool, {}).values())
     if not attempts and not state.tasks_in.get(pool):
         return
-    settle_attempts(state, attempts, listed, step)
-    ended = {e.attempt for e in step.events if isinstance(e, ev.TaskEnded)}
-    live = [attempt for attempt in attempts if attempt.attempt not in ended]
-    # what these attempts teach is known only in the next pass
-    unsettled = {attempt.task for attempt in attempts if attempt.attempt in ended}
-    work = _open_pass(pool, state, live, touched, team_cores, step)
-    _stop_unwanted(work)
-    for task in _order_tasks(work):
-        if task.name not in unsettled:
-            _place_task(work, task)
-
-
-def _open_pass(
+    reconcile_attempts(state, attempts, listed, step)
+    ended_attempts = {e.attempt for e in step.events if isinstance(e, ev.TaskEnded)}
+    running_attempts = [
+        attempt for attempt in attempts if attempt.attempt not in ended_attempts
+    ]
+    # The history of these tasks includes the ended attempts only in the next pass.
+    just_ended = {
+        attempt.task for attempt in attempts if attempt.attempt in ended_attempts
+    }
+    placement = _begin_pass(
+        pool, state, running_attempts, changed_vms, team_cores, step
+    )
+    _stop_attempts(placement)
+    for task in _order_tasks(placement):
+        if task.name not in just_ended:
+            _place_task(placement, task)
+
+
+def _begin_pass(
     pool: str,
     state: FleetState,
     attempts: list[Attempt],
-    touched: set[str],
+    changed_vms: set[str],
     team_cores: TeamCores,
     step: Step,
-) -> _Pass:
+) -> _PlacementPass:
     tasks = state.tasks_in.get(pool, {})
     running: dict[str, list[Attempt]] = collections.defaultdict(list)
     by_vm: dict[str, list[Attempt]] = collections.defaultdict(list)
@@ -201,7 +213,7 @@
         by_vm[attempt.vm].append(attempt)
     workers = []
     for record in state.list_pool(pool):
-        if record.state is VmState.SERVING and record.name not in touched:
+        if record.state is VmState.SERVING and record.name not in changed_vms:
             worker = Worker(
                 record.name,
                 record.zone,
@@ -211,63 +223,67 @@
                 by_vm[record.name],
             )
             for attempt in worker.attempts:
-                worker.change(-attempt.cores, -attempt.memory_gb)
+                worker.adjust_free(-attempt.cores, -attempt.memory_gb)
             workers.append(worker)
-    return _Pass(state, step, tasks, workers, running, team_cores)
+    return _PlacementPass(state, step, tasks, workers, running, team_cores)
 
 
-def _stop_unwanted(work: _Pass) -> None:
-    serving = {worker.vm for worker in work.workers}
-    for name, attempts in work.running.items():
-        task = work.tasks.get(name)
+def _stop_attempts(placement: _PlacementPass) -> None:
+    serving = {worker.vm for worker in placement.workers}
+    for name, attempts in placement.running.items():
+        task = placement.tasks.get(name)
         wanted = task.count if task else 0
         for index, attempt in enumerate(attempts):
             if attempt.stopping:
                 continue
             if index >= wanted:
-                _stop(work, attempt, "no longer wanted")
-            elif attempt.vm not in serving and _may_leave(work.state, attempt, task):
-                _stop(work, attempt, "its worker drains")
+                _stop_attempt(placement, attempt, "no longer wanted")
+            elif attempt.vm not in serving and _may_evacuate(
+                placement.state, attempt, task
+            ):
+                _stop_attempt(placement, attempt, "its worker drains")
 
 
-def _may_leave(state: FleetState, attempt: Attempt, task: Task | None) -> bool:
+def _may_evacuate(state: FleetState, attempt: Attempt, task: Task | None) -> bool:
     record = state.vms.get(attempt.vm)
-    if record is None or record.state not in LEAVING_STATES:
+    if record is None or record.state not in EVACUATION_STATES:
         return False
-    # what may run only once is given the whole grace to end by itself
+    # A task that must not run twice gets the whole drain grace period to end by itself.
     return task is None or task.idempotent
 
 
-def _stop(work: _Pass, attempt: Attempt, reason: str) -> None:
-    work.step.events.append(ev.TaskStopping(attempt.attempt, reason))
+def _stop_attempt(placement: _PlacementPass, attempt: Attempt, reason: str) -> None:
+    placement.step.events.append(ev.TaskStopping(attempt.attempt, reason))
 
 
-def _order_tasks(work: _Pass) -> list[Task]:
-    return sorted(work.tasks.values(), key=lambda t: (t.priority.rank, t.name))
+def _order_tasks(placement: _PlacementPass) -> list[Task]:
+    return sorted(placement.tasks.values(), key=lambda t: (t.priority.rank, t.name))
 
 
-def _count_open(work: _Pass, task: Task) -> int:
-    history = work.state.tasks.get(task.name, TaskHistory())
-    running = len(work.running.get(task.name, ()))
+def _count_missing(placement: _PlacementPass, task: Task) -> int:
+    history = placement.state.tasks.get(task.name, TaskHistory())
+    running = len(placement.running.get(task.name, ()))
     if task.idempotent:
         return task.count - history.done - running
-    # each start may have run: none of them is ever repeated
+    # Every started attempt may have run, so none of them is ever repeated.
     return task.count - history.started
 
 
-def _place_task(work: _Pass, task: Task) -> None:
-    history = work.state.tasks.get(task.name)
+def _place_task(placement: _PlacementPass, task: Task) -> None:
+    history = placement.state.tasks.get(task.name)
     if history is not None and task.name in find_unrunnable({task.name: history}):
         reason = _explain_unrunnable(history)
-        work.step.report(Finding.UNRUNNABLE, task.name, reason)
+        placement.step.report(Finding.UNRUNNABLE, task.name, reason)
         return
     if history is not None and history.lost and not task.idempotent:
         reason = f"{history.lost} attempts lost; they may have run"
-        work.step.report(Finding.LOST_TASK, task.name, reason)
+        placement.step.report(Finding.LOST_TASK, task.name, reason)
     size = estimate_size(task, history)
     started = history.started if history else 0
-    for number in range(_count_open(work, task)):
-        if not _start_one(work, task, size, f"{task.name}#{started + number + 1}"):
+    for number in range(_count_missing(placement, task)):
+        if not _start_attempt(
+            placement, task, size, f"{task.name}#{started + number + 1}"
+        ):
             return
 
 
@@ -277,95 +293,103 @@
     return f"failed on {', '.join(history.failed_on)} and never ran"
 
 
-def _start_one(work: _Pass, task: Task, size: Size, attempt: str) -> bool:
-    if not _is_within_quota(work, task, size):
+def _start_attempt(
+    placement: _PlacementPass, task: Task, size: TaskSize, attempt: str
+) -> bool:
+    if not _is_within_quota(placement, task, size):
         reason = f"team {task.team} has its cores in use"
-        work.step.report(Finding.OVER_QUOTA, task.name, reason)
+        placement.step.report(Finding.OVER_QUOTA, task.name, reason)
         return False
-    worker = _choose_worker(work, task, size)
+    worker = _choose_worker(placement, task, size)
     if worker is None:
-        if task.priority is Priority.URGENT and _preempt(work, size):
+        if task.priority is Priority.URGENT and _preempt(placement, size):
             return False
-        work.step.report(Finding.NO_ROOM, task.name, "no worker has room for it")
+        placement.step.report(Finding.NO_ROOM, task.name, "no worker has room for it")
         return False
     event = ev.TaskStarted(task.name, attempt, worker.vm, size.cores, size.memory_gb)
-    work.step.events.append(event)
-    worker.change(-size.cores, -size.memory_gb)
-    placed = Attempt(
+    placement.step.events.append(event)
+    worker.adjust_free(-size.cores, -size.memory_gb)
+    started_attempt = Attempt(
         attempt, task.name, worker.vm, task.pool, size.cores, size.memory_gb, 0.0
     )
-    worker.attempts.append(placed)
-    work.team_cores.add(task.team, size.cores)
+    worker.attempts.append(started_attempt)
+    placement.team_cores.add(task.team, size.cores)
     return True
 
 
-def _is_within_quota(work: _Pass, task: Task, size: Size) -> bool:
-    team = work.state.find_chunk(f"teams/{task.team}")
+def _is_within_quota(placement: _PlacementPass, task: Task, size: TaskSize) -> bool:
+    team = placement.state.find_chunk(f"teams/{task.team}")
     if not isinstance(team, Team) or team.cores is None:
         return True
-    return work.team_cores.count(team.name) + size.cores <= team.cores
+    return placement.team_cores.count(team.name) + size.cores <= team.cores
 
 
-def _choose_worker(work: _Pass, task: Task, size: Size) -> Worker | None:
-    history = work.state.tasks.get(task.name, TaskHistory())
-    fitting = [worker for worker in work.workers if worker.fits(size)]
-    fresh = [worker for worker in fitting if worker.vm not in history.failed_on]
-    if not fresh:
+def _choose_worker(
+    placement: _PlacementPass, task: Task, size: TaskSize
+) -> Worker | None:
+    history = placement.state.tasks.get(task.name, TaskHistory())
+    fitting = [worker for worker in placement.workers if worker.fits(size)]
+    candidates = [worker for worker in fitting if worker.vm not in history.failed_on]
+    if not candidates:
         return None
 
     by_vm: collections.Counter[str] = collections.Counter()
     by_rack: collections.Counter[str] = collections.Counter()
-    for worker in work.workers:
-        same = sum(item.task == task.name for item in worker.attempts)
-        by_vm[worker.vm] += same
-        by_rack[worker.rack] += same
-
-    def rank(worker: Worker) -> tuple[bool, int, int, int, float, str]:
-        spare = worker.memory_gb - size.memory_gb
-        # where VMs were lost under both, the next loss would not tell which did it
-        suspects = _count_suspects(work, worker) if history.lost_in_a_row else 0
+    for worker in placement.workers:
+        same_task = sum(item.task == task.name for item in worker.attempts)
+        by_vm[worker.vm] += same_task
+        by_rack[worker.rack] += same_task
+
+    def sort_key(worker: Worker) -> tuple[bool, int, int, int, float, str]:
+        memory_left_gb = worker.memory_gb - size.memory_gb
+        # If both tasks have lost VMs, the next loss would not show which one caused it.
+        suspected = (
+            _count_suspected_attempts(placement, worker) if history.lost_in_a_row else 0
+        )
         return (
             worker.vm == history.lost_on,
-            suspects,
+            suspected,
             by_vm[worker.vm],
             by_rack[worker.rack],
-            spare,
+            memory_left_gb,
             worker.vm,
         )
 
-    return min(fresh, key=rank)
+    return min(candidates, key=sort_key)
 
 
-def _count_suspects(work: _Pass, worker: Worker) -> int:
-    tasks = work.state.tasks
+def _count_suspected_attempts(placement: _PlacementPass, worker: Worker) -> int:
+    tasks = placement.state.tasks
     return sum(
         item.task in tasks and tasks[item.task].lost_in_a_row > 0
         for item in worker.attempts
     )
 
 
-def _preempt(work: _Pass, size: Size) -> bool:
-    """Stop the fewest less urgent attempts that make room on one worker."""
+def _preempt(placement: _PlacementPass, size: TaskSize) -> bool:
+    """Stop attempts below urgent priority on the worker where the fewest must go."""
     choices = []
-    for worker in work.workers:
-        victims = _find_victims(work, worker, size)
+    for worker in placement.workers:
+        victims = _find_victims(placement, worker, size)
         if victims is not None:
             choices.append((len(victims), worker.vm, victims))
     if not choices:
         return False
     for victim in min(choices, key=lambda choice: choice[:2])[2]:
         if not victim.stopping:
-            _stop(work, victim, "makes room for urgent work")
+            _stop_attempt(placement, victim, "makes room for urgent work")
     return True
 
 
-def _find_victims(work: _Pass, worker: Worker, size: Size) -> list[Attempt] | None:
+def _find_victims(
+    placement: _PlacementPass, worker: Worker, size: TaskSize
+) -> list[Attempt] | None:
     cores, memory = worker.cores, worker.memory_gb
     victims = []
     for attempt in sorted(worker.attempts, key=lambda item: -item.memory_gb):
         if cores >= size.cores and memory >= size.memory_gb:
             break
-        task = work.state.find_chunk(f"tasks/{attempt.task}")
+        task = placement.state.find_chunk(f"tasks/{attempt.task}")
         if task is None or task.priority is Priority.URGENT or not task.idempotent:
             continue
         victims.append(attempt)
