--- a/src/onyxgap/fleet/budget.py
+++ b/src/onyxgap/fleet/budget.py
@@ -1,4 +1,4 @@
-"""Guard: grants voluntary disruptions within a pool's availability budget."""
+"""Limits voluntary disruptions of VMs to a pool's availability budget."""
 
 import typing as t
 
@@ -10,13 +10,14 @@
 
 
 def count_headroom(pool: Pool, records: t.Iterable[VmRecord]) -> int:
-    """Count the VMs that may still be taken out by choice.
+    """Count the VMs that may still be taken out of service voluntarily.
 
-    Whatever is not serving counts as out: failed, draining, down,
-    quarantined, retired and not yet joined alike.
+    Every VM that is not serving counts as out of service, whether it is failed,
+    draining, down, quarantined, retired or has not joined yet.
 
-    :param pool: the pool's declaration.
-    :param records: its VMs.
+    :param pool: the pool as declared in the manifest.
+    :param records: the VMs of the pool.
+    :returns: number of VMs; negative if more VMs are out than the budget allows.
     """
     serving = sum(record.state is VmState.SERVING for record in records)
     return serving - (pool.size - pool.max_out)
@@ -24,27 +25,27 @@
 
 @attrs.define
 class Budget:
-    """The voluntary disruptions that one pass may still grant in one pool.
+    """Voluntary disruptions that one reconciliation pass may still start in a pool.
 
-    :param left: how many.
-    :param barred: why none is granted at all, or empty.
+    :param remaining: number of disruptions left.
+    :param blocked_reason: why no disruption is allowed at all, or empty.
     """
 
-    left: int
-    barred: str = ""
+    remaining: int
+    blocked_reason: str = ""
 
-    def grant(self) -> bool:
-        """Take one disruption from the budget if there is one."""
-        if self.barred or self.left <= 0:
+    def try_take(self) -> bool:
+        """Take one disruption from the budget; return whether one was available."""
+        if self.blocked_reason or self.remaining <= 0:
             return False
-        self.left -= 1
+        self.remaining -= 1
         return True
 
-    def explain(self, pool: Pool) -> str:
-        """Say why nothing more is granted.
+    def explain_refusal(self, pool: Pool) -> str:
+        """Explain why no further disruption is allowed.
 
-        :param pool: the pool's declaration.
+        :param pool: the pool as declared in the manifest.
         """
-        if self.barred:
-            return self.barred
+        if self.blocked_reason:
+            return self.blocked_reason
         return f"availability budget of {pool.max_out} VMs out is used up"
--- a/src/onyxgap/fleet/planning.py
+++ b/src/onyxgap/fleet/planning.py
@@ -1,4 +1,4 @@
-"""Plans one pool: repair, sizes by zone, maintenance; guarded by its budget."""
+"""Plans repair, sizes by zone and maintenance of one pool within its budget."""
 
 import collections
 import typing as t
@@ -22,26 +22,26 @@
 from .messages import Step
 from .messages import View
 from .messages import find_wanted
-from .pricing import Option
+from .pricing import MaintenanceOption
 from .pricing import list_options
 
-_GOING = (ev.Purpose.SURPLUS, ev.Purpose.MOVE, ev.Purpose.PLATFORM)
+_REMOVAL_PURPOSES = (ev.Purpose.SURPLUS, ev.Purpose.MOVE, ev.Purpose.PLATFORM)
 
 
 @attrs.define
 class FreeVms:
     """VMs that belong to no pool, shared by the pools of one pass.
 
-    They are collected only once a pool asks for one.
+    They are collected when a pool needs one for the first time.
 
-    :param view: what the pass looks at.
+    :param view: input of the reconciliation pass.
     """
 
     view: View
     _by_zone: dict[str, list[ListedVm]] | None = None
 
     def collect(self) -> dict[str, list[ListedVm]]:
-        """Collect the free VMs by zone."""
+        """Return the live VMs without a pool, by availability zone."""
         if self._by_zone is None:
             self._by_zone = collections.defaultdict(list)
             free = self.view.observation.listed.keys() - self.view.state.vms.keys()
@@ -52,82 +52,87 @@
         return self._by_zone
 
     def take(self, zone: str, pool: Pool) -> ListedVm | None:
-        """Take the smallest free VM of a zone that the pool accepts.
+        """Remove and return the smallest free VM of a zone that fits the pool's shape.
 
         :param zone: the availability zone.
         :param pool: the pool.
+        :returns: the VM, or ``None`` if no free VM fits.
         """
-        in_zone = self.collect().get(zone, [])
-        fitting = [vm for vm in in_zone if pool.shape.fits(vm)]
+        free_in_zone = self.collect().get(zone, [])
+        fitting = [vm for vm in free_in_zone if pool.shape.fits(vm)]
         if not fitting:
             return None
         best = min(fitting, key=lambda vm: (vm.cores, vm.memory_gb, vm.name))
-        in_zone.remove(best)
+        free_in_zone.remove(best)
         return best
 
 
 def plan_pool(name: str, view: View, free: FreeVms) -> Step:
     """Plan the next step of one pool.
 
-    :param name: the pool.
-    :param view: what the pass looks at.
-    :param free: free VMs, shared by the pools of the pass.
+    :param name: name of the pool.
+    :param view: input of the reconciliation pass.
+    :param free: free VMs, shared by all pools of the pass.
     """
     step = Step(name)
     pool = find_wanted(view.state, name)
     records = view.state.list_pool(name)
     for record in records:
         advance_vm(record, view, step)
-    touched = {getattr(event, "vm", "") for event in step.events}
-    budget = _open_budget(pool, records, touched, view)
-    _plan_sizes(pool, records, touched, budget, view, free, step)
-    _plan_maintenance(pool, records, touched, budget, view, step)
+    changed_vms = {getattr(event, "vm", "") for event in step.events}
+    budget = _build_budget(pool, records, changed_vms, view)
+    _plan_sizes(pool, records, changed_vms, budget, view, free, step)
+    _plan_maintenance(pool, records, changed_vms, budget, view, step)
     return step
 
 
-def _open_budget(
-    pool: Pool, records: t.Sequence[VmRecord], touched: set[str], view: View
+def _build_budget(
+    pool: Pool, records: t.Sequence[VmRecord], changed_vms: set[str], view: View
 ) -> Budget:
-    # a VM that this very pass takes out is out already
-    untouched = [record for record in records if record.name not in touched]
-    left = count_headroom(pool, untouched)
-    barred = ""
+    # VMs that an event of this pass already changes count as out of service.
+    unchanged = [record for record in records if record.name not in changed_vms]
+    remaining = count_headroom(pool, unchanged)
+    blocked_reason = ""
     if view.observation.is_stale:
-        barred = f"the list of VMs is {view.observation.age_s:.0f} s old"
+        blocked_reason = f"the list of VMs is {view.observation.age_s:.0f} s old"
     elif view.cautious:
-        barred = "too few entries or no store: nothing voluntary starts"
-    return Budget(min(left, defaults.MAX_VOLUNTARY_PER_PASS), barred)
+        blocked_reason = "too few entries or no store: nothing voluntary starts"
+    return Budget(min(remaining, defaults.MAX_VOLUNTARY_PER_PASS), blocked_reason)
 
 
-def _is_staying(record: VmRecord) -> bool:
+def _counts_toward_size(record: VmRecord) -> bool:
     if record.state is VmState.RETIRED:
         return False
-    return record.state is not VmState.DRAINING or record.purpose not in _GOING
+    return (
+        record.state is not VmState.DRAINING or record.purpose not in _REMOVAL_PURPOSES
+    )
 
 
 def _plan_sizes(
     pool: Pool,
     records: t.Sequence[VmRecord],
-    touched: set[str],
+    changed_vms: set[str],
     budget: Budget,
     view: View,
     free: FreeVms,
     step: Step,
 ) -> None:
-    staying: dict[str, list[VmRecord]] = collections.defaultdict(list)
+    counted: dict[str, list[VmRecord]] = collections.defaultdict(list)
     for record in records:
-        if _is_staying(record):
-            staying[record.zone].append(record)
-    for zone in sorted({*pool.zones, *staying}):
-        difference = pool.zones.get(zone, 0) - len(staying[zone])
+        if _counts_toward_size(record):
+            counted[record.zone].append(record)
+    for zone in sorted({*pool.zones, *counted}):
+        difference = pool.zones.get(zone, 0) - len(counted[zone])
         if difference > 0:
-            _join_vms(pool, zone, difference, budget, free, step)
+            _add_vms(pool, zone, difference, budget, free, step)
         elif difference < 0:
-            idle = [record for record in staying[zone] if record.name not in touched]
-            _drain_surplus(pool, idle, -difference, budget, view.state, step)
+            drainable = [
+                record for record in counted[zone] if record.name not in changed_vms
+            ]
+            _drain_surplus(pool, drainable, -difference, budget, view.state, step)
 
 
-def _join_vms(
+def _add_vms(
     pool: Pool, zone: str, count: int, budget: Budget, free: FreeVms, step: Step
 ) -> None:
     for missing in range(count, 0, -1):
@@ -164,34 +169,34 @@
     for record in sorted(serving, key=lambda item: (tasks(item.name), item.name))[
         :count
     ]:
-        if not budget.grant():
-            step.report(Finding.NO_BUDGET, pool.name, budget.explain(pool))
+        if not budget.try_take():
+            step.report(Finding.NO_BUDGET, pool.name, budget.explain_refusal(pool))
             return
         step.events.append(ev.VmDraining(record.name, ev.Purpose.SURPLUS))
 
 
 def list_pool_options(
-    pool: Pool, view: View, wave: t.Sequence[VmRecord], left: int
-) -> list[Option]:
-    """List the ways to maintain a wave, cheapest first.
+    pool: Pool, view: View, wave: t.Sequence[VmRecord], headroom: int
+) -> list[MaintenanceOption]:
+    """List the options for maintaining a wave of VMs, cheapest first.
 
     :param pool: the pool.
-    :param view: what the pass looks at.
-    :param wave: VMs that are due.
-    :param left: disruptions left in the budget.
+    :param view: input of the reconciliation pass.
+    :param wave: VMs that are due for maintenance, in order.
+    :param headroom: maximum number of VMs out of service at once.
     """
     manifest = view.state.manifest
     if manifest is None:
         return []
     tasks = view.state.count_attempts(pool.name)
     loads = [tasks(record.name) for record in wave]
-    return list_options(loads, max(0, left), manifest.weights)
+    return list_options(loads, max(0, headroom), manifest.weights)
 
 
 def _plan_maintenance(
     pool: Pool,
     records: t.Sequence[VmRecord],
-    touched: set[str],
+    changed_vms: set[str],
     budget: Budget,
     view: View,
     step: Step,
@@ -202,18 +207,18 @@
     days = manifest.maintenance_days
     tasks = view.state.count_attempts(pool.name)
     wave = order_wave(records, pool, days, view.wall, tasks)
-    wave = [record for record in wave if record.name not in touched]
+    wave = [record for record in wave if record.name not in changed_vms]
     if not wave:
         return
     halt = find_halt(records)
     if halt:
-        budget.barred = budget.barred or halt
+        budget.blocked_reason = budget.blocked_reason or halt
         step.report(Finding.HALTED, pool.name, halt)
     options = list_pool_options(pool, view, wave, pool.max_out)
     parallel = options[0].parallel if options else 0
-    out = sum(record.purpose is ev.Purpose.MAINTENANCE for record in records)
-    for record in wave[: max(0, parallel - out)]:
-        if not budget.grant():
+    in_maintenance = sum(record.purpose is ev.Purpose.MAINTENANCE for record in records)
+    for record in wave[: max(0, parallel - in_maintenance)]:
+        if not budget.try_take():
             break
         step.events.append(ev.VmDraining(record.name, ev.Purpose.MAINTENANCE))
     _report_overdue(pool, records, days, budget, view, step)
@@ -227,7 +232,7 @@
     view: View,
     step: Step,
 ) -> None:
-    late = [record.name for record in records if is_overdue(record, days, view.wall)]
-    if late:
-        reason = f"{len(late)} VMs past {days} days: {budget.explain(pool)}"
+    overdue = [record.name for record in records if is_overdue(record, days, view.wall)]
+    if overdue:
+        reason = f"{len(overdue)} VMs past {days} days: {budget.explain_refusal(pool)}"
         step.report(Finding.OVERDUE, pool.name, reason)
--- a/src/onyxgap/fleet/pricing.py
+++ b/src/onyxgap/fleet/pricing.py
@@ -1,4 +1,4 @@
-"""Prices a plan by what the operator weighs: moves, buffer and roll-out."""
+"""Prices maintenance options by the operator's weights for their costs."""
 
 import math
 import typing as t
@@ -7,17 +7,17 @@
 
 from ..manifest import Weights
 
-STEP_S = 60.0
-"""Estimated time to drain and restart one VM, in seconds."""
+MAINTENANCE_ROUND_S = 60.0
+"""Estimated time to drain and restart one VM, or several at once, in seconds."""
 
 
 @attrs.frozen(slots=True)
-class Measures:
-    """The three measures of a plan.
+class PlanCosts:
+    """Unweighted costs of a plan.
 
-    :param moves: tasks and VMs that are relocated.
-    :param buffer: VMs held back at once.
-    :param roll_out_s: seconds until the plan is in force.
+    :param moves: number of tasks that are relocated.
+    :param buffer: number of VMs out of service at once.
+    :param roll_out_s: seconds until the plan is carried out.
     """
 
     moves: int
@@ -26,54 +26,56 @@
 
 
 @attrs.frozen(slots=True)
-class Option:
-    """One way to take VMs out.
+class MaintenanceOption:
+    """One way to take a number of VMs out of service for maintenance.
 
-    :param parallel: how many VMs are out at once.
-    :param measures: its measures.
-    :param price: their weighted sum.
+    :param parallel: number of VMs out of service at once.
+    :param costs: costs of this option.
+    :param price: weighted sum of the costs.
     """
 
     parallel: int
-    measures: Measures
+    costs: PlanCosts
     price: float
 
 
-def price_measures(measures: Measures, weights: Weights) -> float:
-    """Weigh the measures of a plan.
+def compute_price(costs: PlanCosts, weights: Weights) -> float:
+    """Compute the weighted sum of a plan's costs.
 
-    :param measures: the measures.
+    :param costs: the costs; the roll-out counts in units of ``MAINTENANCE_ROUND_S``.
     :param weights: the operator's weights.
     """
     return (
-        weights.moves * measures.moves
-        + weights.buffer * measures.buffer
-        + weights.roll_out * measures.roll_out_s / STEP_S
+        weights.moves * costs.moves
+        + weights.buffer * costs.buffer
+        + weights.roll_out * costs.roll_out_s / MAINTENANCE_ROUND_S
     )
 
 
 def list_options(
     tasks_by_vm: t.Sequence[int], headroom: int, weights: Weights
-) -> list[Option]:
-    """List the ways to take a number of VMs out, cheapest first.
+) -> list[MaintenanceOption]:
+    """List options for taking a number of VMs out of service, cheapest first.
 
-    VMs taken one after another let the tasks of later ones end by
-    themselves; taken together, all their tasks move.
+    All tasks of the ``parallel`` VMs that are drained first count as relocated. Tasks
+    of VMs that are drained later do not, since they can end by themselves before.
 
-    :param tasks_by_vm: running tasks of each VM that has to go, in order.
-    :param headroom: most VMs that may be out at once.
+    :param tasks_by_vm: number of running tasks of each VM, in the order of draining.
+    :param headroom: maximum number of VMs out of service at once.
     :param weights: the operator's weights.
     """
-    wanted = len(tasks_by_vm)
+    vm_count = len(tasks_by_vm)
     options = []
     for parallel in sorted({1, max(1, headroom // 2), headroom}):
-        if not 0 < parallel <= headroom or not wanted:
+        if not 0 < parallel <= headroom or not vm_count:
             continue
-        rounds = math.ceil(wanted / parallel)
-        measures = Measures(
+        rounds = math.ceil(vm_count / parallel)
+        costs = PlanCosts(
             moves=sum(tasks_by_vm[:parallel]),
-            buffer=min(parallel, wanted),
-            roll_out_s=rounds * STEP_S,
+            buffer=min(parallel, vm_count),
+            roll_out_s=rounds * MAINTENANCE_ROUND_S,
+        )
+        options.append(
+            MaintenanceOption(parallel, costs, compute_price(costs, weights))
         )
-        options.append(Option(parallel, measures, price_measures(measures, weights)))
     return sorted(options, key=lambda option: (option.price, option.parallel))
--- a/src/onyxgap/fleet/report.py
+++ b/src/onyxgap/fleet/report.py
@@ -1,4 +1,4 @@
-"""Sums up the present plan by the three measures, beside the next best."""
+"""Summarizes the costs of the current plan and the price of the next best one."""
 
 import typing as t
 
@@ -11,17 +11,17 @@
 from .pipe import list_pools
 from .planning import FreeVms
 from .planning import list_pool_options
-from .pricing import Option
+from .pricing import MaintenanceOption
 
 
 @attrs.frozen
 class PlanSummary:
-    """The measures of the present plan, and the price of the next best.
+    """Costs of the current plan, and the price of the next best one.
 
-    :param buffer_vms: free VMs and VMs out within their budgets.
-    :param moves: tasks and VMs that the plan relocates.
-    :param roll_out_s: seconds until the plan is in force.
-    :param price: weighted sum.
+    :param buffer_vms: number of free VMs and of pool VMs that are not serving.
+    :param moves: number of tasks that the plan relocates.
+    :param roll_out_s: seconds until the plan is carried out.
+    :param price: weighted sum of the costs.
     :param next_price: price of the next best plan, or ``None``.
     """
 
@@ -32,8 +32,8 @@
     next_price: float | None
 
     def render(self) -> t.Iterator[str]:
-        """Render it line by line, for people."""
-        yield f"buffer: {self.buffer_vms} VMs free or out"
+        """Yield the lines of a report for people."""
+        yield f"buffer: {self.buffer_vms} VMs free or out of service"
         yield f"moves: {self.moves}"
         yield f"roll-out: {self.roll_out_s:.0f} s"
         yield f"price: {self.price:.2f}"
@@ -42,25 +42,27 @@
 
 
 def summarize_plan(view: View) -> PlanSummary:
-    """Price the plan that the pools of a view are about to follow.
+    """Summarize the maintenance plan of all pools: the cheapest option of each.
 
-    :param view: what the pass looks at.
+    :param view: input of the reconciliation pass.
     """
     options = [_list_options(name, view) for name in list_pools(view.state)]
     chosen = [pool_options[0] for pool_options in options if pool_options]
     free = sum(map(len, FreeVms(view).collect().values()))
-    out = sum(record.state is not VmState.SERVING for record in view.state.vms.values())
+    out_of_service = sum(
+        record.state is not VmState.SERVING for record in view.state.vms.values()
+    )
     price = sum(option.price for option in chosen)
     return PlanSummary(
-        buffer_vms=free + out,
-        moves=sum(option.measures.moves for option in chosen),
-        roll_out_s=max((o.measures.roll_out_s for o in chosen), default=0.0),
+        buffer_vms=free + out_of_service,
+        moves=sum(option.costs.moves for option in chosen),
+        roll_out_s=max((o.costs.roll_out_s for o in chosen), default=0.0),
         price=price,
-        next_price=_price_next(options, price),
+        next_price=_compute_next_price(options, price),
     )
 
 
-def _list_options(name: str, view: View) -> list[Option]:
+def _list_options(name: str, view: View) -> list[MaintenanceOption]:
     manifest = view.state.manifest
     if manifest is None:
         return []
@@ -75,6 +77,8 @@
     return list_pool_options(pool, view, wave, pool.max_out)
 
 
-def _price_next(options: t.Iterable[list[Option]], price: float) -> float | None:
-    steps = [pool[1].price - pool[0].price for pool in options if len(pool) > 1]
-    return price + min(steps) if steps else None
+def _compute_next_price(
+    options: t.Iterable[list[MaintenanceOption]], price: float
+) -> float | None:
+    increases = [pool[1].price - pool[0].price for pool in options if len(pool) > 1]
+    return price + min(increases) if increases else None
