--- a/src/onyxgap/fleet/diagnosis.py
+++ b/src/onyxgap/fleet/diagnosis.py
@@ -1,4 +1,4 @@
-"""Tells tasks that can never run from workers that fail everything."""
+"""Distinguishes tasks that never succeed from VMs on which good tasks fail."""
 
 import collections
 import typing as t
@@ -8,11 +8,13 @@
 
 
 def find_unrunnable(tasks: t.Mapping[str, TaskHistory]) -> set[str]:
-    """Find tasks that never ran well, but failed or lost their VMs several times.
+    """Find tasks that never succeeded and failed or lost their VMs several times.
 
-    A task that crashes its VMs reports no failure; it would be started without end.
+    Lost VMs count too: a task that crashes its VMs never reports a failure, and
+    would otherwise be restarted forever.
 
-    :param tasks: history by task.
+    :param tasks: task history by task name.
+    :returns: names of the tasks.
     """
     return {
         name
@@ -26,9 +28,10 @@
 
 
 def find_faulty(tasks: t.Mapping[str, TaskHistory]) -> set[str]:
-    """Find workers that failed several tasks which run well elsewhere.
+    """Find VMs on which several tasks failed that succeed on other VMs.
 
-    :param tasks: history by task.
+    :param tasks: task history by task name.
+    :returns: names of the VMs.
     """
     counts: collections.Counter[str] = collections.Counter()
     for history in tasks.values():
--- a/src/onyxgap/fleet/lifecycle.py
+++ b/src/onyxgap/fleet/lifecycle.py
@@ -1,4 +1,4 @@
-"""What each VM of a pool needs next, by the state it is in."""
+"""State machine of a VM: plans the next transition or power action by its state."""
 
 import typing as t
 
@@ -18,11 +18,12 @@
 def advance_vm(record: VmRecord, view: View, step: Step) -> None:
     """Add the events and orders that one VM needs now.
 
-    Only steps that are involuntary or already granted are taken here.
+    This covers only involuntary changes and disruptions that the budget has
+    already granted.
 
     :param record: the VM.
-    :param view: what the pass looks at.
-    :param step: collects the outcome.
+    :param view: input of the reconciliation pass.
+    :param step: plan to which events, orders and reports are added.
     """
     if record.name in view.observation.contradictory:
         reason = "the platform lists it twice with different facts"
@@ -50,12 +51,12 @@
     if record.name in view.observation.missing:
         step.events.append(ev.VmFailed(record.name, "lost while it drained"))
     elif record.purpose is ev.Purpose.PLATFORM:
-        _advance_platform_leave(record, view, step)
+        _advance_platform_drain(record, view, step)
     elif is_drained(record, view, step):
         step.events.append(_finish_drain(record))
 
 
-def _advance_platform_leave(record: VmRecord, view: View, step: Step) -> None:
+def _advance_platform_drain(record: VmRecord, view: View, step: Step) -> None:
     if not view.observation.is_live(record.name):
         return
     listed = view.observation.listed[record.name]
@@ -63,14 +64,15 @@
 
 
 def is_drained(record: VmRecord, view: View, step: Step) -> bool:
-    """Tell whether a leaving VM may be touched.
+    """Whether a draining or quarantined VM may be restarted or released.
 
-    Every live entry must have acknowledged the mark, and its requests and
-    tasks must have ended or the grace have passed; the latter is reported.
+    Every live entry process must have applied the event that took the VM out of
+    service. Its requests and tasks must also have ended, or the grace period must
+    have passed; a drain that the grace period ends is reported.
 
     :param record: the VM.
-    :param view: what the pass looks at.
-    :param step: collects the report.
+    :param view: input of the reconciliation pass.
+    :param step: plan to which the report is added.
     """
     if view.acknowledged < record.since:
         return False
@@ -90,11 +92,11 @@
 
 def _finish_drain(record: VmRecord) -> ev.Event:
     if record.purpose is ev.Purpose.MAINTENANCE:
-        return _restart(record, VmAction.REBOOT)
+        return _request_restart(record, VmAction.REBOOT)
     return ev.VmReleased(record.name)
 
 
-def _restart(record: VmRecord, action: VmAction) -> ev.VmRestarting:
+def _request_restart(record: VmRecord, action: VmAction) -> ev.VmRestarting:
     action_id = f"{record.name}/{record.since}"
     return ev.VmRestarting(record.name, action.value, action_id, record.boots)
 
@@ -122,9 +124,9 @@
     elif view.cautious:
         return
     elif record.repairs == 0:
-        step.events.append(_restart(record, VmAction.REBOOT))
+        step.events.append(_request_restart(record, VmAction.REBOOT))
     elif record.repairs < defaults.REPAIR_ATTEMPTS:
-        step.events.append(_restart(record, VmAction.REPLACE))
+        step.events.append(_request_restart(record, VmAction.REPLACE))
     else:
         reason = f"still down after {record.repairs} power actions"
         step.events.append(ev.VmRetired(record.name, reason))
@@ -134,13 +136,13 @@
     if record.name in view.observation.missing:
         step.events.append(ev.VmFailed(record.name, "lost in quarantine"))
     elif is_drained(record, view, step):
-        step.events.append(_restart(record, VmAction.REBOOT))
+        step.events.append(_request_restart(record, VmAction.REBOOT))
 
 
 def _advance_retired(record: VmRecord, view: View, step: Step) -> None:
     listed = view.observation.listed.get(record.name)
     if listed is not None and view.observation.is_live(record.name):
-        # somebody has repaired it
+        # The VM was repaired from outside, e.g. by an operator.
         step.events.append(ev.VmReleased(record.name))
     else:
         step.report(Finding.GIVEN_UP, record.name, record.reason)
--- a/src/onyxgap/fleet/maintenance.py
+++ b/src/onyxgap/fleet/maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance waves: which VMs are due, and in which order they go."""
+"""Selects and orders the VMs of a maintenance wave; halts it on too many failures."""
 
 import collections
 import typing as t
@@ -15,14 +15,15 @@
 
 
 def find_due_at(record: VmRecord, pool: Pool, cycle_days: int) -> float:
-    """Find when a VM's maintenance should start at the latest.
+    """Find the latest time at which a VM's maintenance should start.
 
-    Large pools start earlier, since their VMs go one after another.
+    The lead time grows with the size of the pool, since its VMs are maintained
+    one after another.
 
     :param record: the VM.
     :param pool: its pool.
-    :param cycle_days: every VM is maintained once in so many days.
-    :returns: wall-clock seconds.
+    :param cycle_days: maintenance cycle in days; each VM is maintained once per cycle.
+    :returns: wall-clock time in seconds.
     """
     cycle_s = cycle_days * DAY_S
     lead_s = min(pool.size * LEAD_PER_VM_S, cycle_s * MAX_LEAD_SHARE)
@@ -30,19 +31,20 @@
 
 
 def is_overdue(record: VmRecord, cycle_days: int, wall: float) -> bool:
-    """Tell whether a VM has missed its cycle.
+    """Whether a VM was not maintained within the last cycle.
 
     :param record: the VM.
-    :param cycle_days: length of the cycle.
-    :param wall: wall-clock seconds.
+    :param cycle_days: maintenance cycle in days.
+    :param wall: wall-clock time in seconds.
     """
     return wall > record.maintained_at + cycle_days * DAY_S
 
 
 def find_halt(records: t.Sequence[VmRecord]) -> str:
-    """Say why a wave has to halt, or return an empty string.
+    """Explain why a maintenance wave must halt.
 
     :param records: VMs of the pool.
+    :returns: the reason, or an empty string if the wave may go on.
     """
     failed = sum(record.state is VmState.FAILED for record in records)
     if failed > FAILED_SHARE_LIMIT * len(records):
@@ -57,13 +59,17 @@
     wall: float,
     count_tasks: t.Callable[[str], int],
 ) -> list[VmRecord]:
-    """Order the VMs that are due: one zone at a time, rack by rack.
+    """List the VMs due for maintenance in one zone, in the order to take them.
+
+    Only one zone is maintained at a time, rack by rack. Within a rack, VMs with
+    fewer tasks come first.
 
     :param records: VMs of the pool.
-    :param pool: its declaration.
-    :param cycle_days: length of the cycle.
-    :param wall: wall-clock seconds.
-    :param count_tasks: counts the running tasks of a VM; each would move.
+    :param pool: the declared pool.
+    :param cycle_days: maintenance cycle in days.
+    :param wall: wall-clock time in seconds.
+    :param count_tasks: returns the number of running tasks of a VM, all of which
+        have to move when it is drained.
     """
     due = [
         record
@@ -73,23 +79,23 @@
     ]
     if not due:
         return []
-    zone = _find_wave_zone(records) or _find_next_zone(due)
+    zone = _find_active_zone(records) or _find_next_zone(due)
     wave = [record for record in due if record.zone == zone]
 
-    def rank(record: VmRecord) -> tuple[str, int, float, str]:
+    def get_sort_key(record: VmRecord) -> tuple[str, int, float, str]:
         tasks = count_tasks(record.name)
         return record.rack, tasks, record.maintained_at, record.name
 
-    return sorted(wave, key=rank)
+    return sorted(wave, key=get_sort_key)
 
 
 def _find_next_zone(due: t.Iterable[VmRecord]) -> str:
-    # the zone with the fewest left has been begun and is finished first
+    # The zone with the fewest due VMs is taken to be partly done; finish it first.
     counts = collections.Counter(record.zone for record in due)
     return min(counts, key=lambda zone: (counts[zone], zone))
 
 
-def _find_wave_zone(records: t.Iterable[VmRecord]) -> str | None:
+def _find_active_zone(records: t.Iterable[VmRecord]) -> str | None:
     zones = [
         record.zone
         for record in records
--- a/src/onyxgap/fleet/messages.py
+++ b/src/onyxgap/fleet/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages that flow through the fleet pipe."""
+"""Input and result types of a reconciliation pass over the pools of the fleet."""
 
 import enum
 import typing as t
@@ -14,7 +14,7 @@
 
 
 class Finding(enum.Enum):
-    """Why something cannot be brought in line."""
+    """Kind of problem that keeps a pool, VM or task from being reconciled."""
 
     SHORT_OF_VMS = "short-of-vms"
     NO_BUDGET = "no-budget"
@@ -33,11 +33,11 @@
 
 @attrs.frozen(slots=True)
 class Report:
-    """One thing that cannot be brought in line.
+    """A problem that keeps a pool, VM or task from being reconciled.
 
-    :param finding: its kind.
-    :param subject: pool, VM or task concerned.
-    :param reason: what prevents it, in a phrase.
+    :param finding: kind of problem.
+    :param subject: name of the pool, VM or task.
+    :param reason: short explanation for the operator.
     """
 
     finding: Finding
@@ -47,7 +47,14 @@
 
 @attrs.frozen(slots=True)
 class PowerOrder:
-    """A power action that is due on the platform; repeated until it shows."""
+    """A power action on a VM, sent to the platform.
+
+    It is repeated in every pass until the VM list shows its effect or it times out.
+
+    :param vm: name of the VM.
+    :param action: reboot or replace.
+    :param action_id: identifies the action, so that a repeated order runs only once.
+    """
 
     vm: str
     action: VmAction
@@ -56,7 +63,7 @@
 
 @attrs.frozen(slots=True)
 class StopOrder:
-    """A task attempt that is to be stopped on the platform."""
+    """An order to the platform to stop a task attempt."""
 
     attempt: str
 
@@ -66,15 +73,17 @@
 
 @attrs.frozen
 class View:
-    """Everything one planning pass looks at.
-
-    :param state: the agreed state.
-    :param observation: what is known of the VMs.
-    :param wall: wall clock in seconds, for maintenance cycles and graces.
-    :param acknowledged: least journal sequence folded by a live entry.
-    :param in_flight: requests in flight by leaving VM, over live entries.
-    :param cautious: nothing voluntary may start.
-    :param drain_grace_s: seconds that a leaving VM may drain.
+    """Input of a reconciliation pass.
+
+    :param state: replicated state.
+    :param observation: VMs as the platform lists them.
+    :param wall: wall-clock time in seconds, for maintenance cycles and grace periods.
+    :param acknowledged: lowest of the journal sequences that the live entry processes
+        have applied.
+    :param in_flight: requests in flight by draining VM, summed over the live entry
+        processes.
+    :param cautious: whether voluntary disruptions and repairs are suspended.
+    :param drain_grace_s: grace period of a draining VM in seconds.
     """
 
     state: FleetState
@@ -88,12 +97,13 @@
 
 @attrs.define
 class Step:
-    """What a pass over one pool decides.
+    """Result of a reconciliation pass for one pool.
 
     :param pool: name of the pool.
-    :param events: events to append.
-    :param orders: orders to the platform, due on the state as it stands.
-    :param reports: what cannot be brought in line.
+    :param events: events to append to the journal.
+    :param orders: orders to the platform that the current replicated state calls
+        for, without the events above.
+    :param reports: problems that keep the pool from being reconciled.
     """
 
     pool: str
@@ -102,19 +112,22 @@
     reports: list[Report] = attrs.field(factory=list)
 
     def report(self, finding: Finding, subject: str, reason: str) -> None:
-        """Add a report.
+        """Report a problem.
 
-        :param finding: its kind.
-        :param subject: what it concerns.
-        :param reason: what prevents it.
+        :param finding: kind of problem.
+        :param subject: name of the pool, VM or task.
+        :param reason: short explanation for the operator.
         """
         self.reports.append(Report(finding, subject, reason))
 
 
 def find_wanted(state: FleetState, name: str) -> Pool:
-    """Find the declaration of a pool; an undeclared one is wanted empty.
+    """Find the declaration of a pool.
+
+    A pool that is no longer declared gets a declaration without VMs, so that its
+    remaining VMs are surplus.
 
-    :param state: the agreed state.
+    :param state: replicated state.
     :param name: name of the pool.
     """
     return state.find_pool(name) or Pool(name=name, zones={}, max_out=0)
--- a/src/onyxgap/fleet/observation.py
+++ b/src/onyxgap/fleet/observation.py
@@ -1,4 +1,4 @@
-"""First filter: turn the platform's lagging list into facts one can act on."""
+"""Debounces the platform's VM list, which lags and may omit running VMs."""
 
 import typing as t
 
@@ -12,12 +12,12 @@
 
 @attrs.frozen
 class Observation:
-    """What is known of the VMs at one moment.
+    """Status of the VMs at one moment, as derived from the platform's lists.
 
     :param listed: VMs of the newest list by name, without contradictory ones.
-    :param missing: VMs that several lists in a row did not show as running.
-    :param contradictory: VMs that one list shows twice.
-    :param age_s: age of the newest list, in seconds.
+    :param missing: VMs that several consecutive lists omitted or showed as down.
+    :param contradictory: VMs that the newest list contains twice with different data.
+    :param age_s: age of the newest list in seconds.
     """
 
     listed: t.Mapping[str, ListedVm] = attrs.field(factory=dict)
@@ -27,21 +27,21 @@
 
     @property
     def is_stale(self) -> bool:
-        """Whether it is too old for anything voluntary."""
+        """Whether the list is too old to start voluntary disruptions."""
         return self.age_s > defaults.STALE_VIEW_LIMIT_S
 
     def is_live(self, vm: str) -> bool:
-        """Tell whether the newest list shows a VM as running.
+        """Whether the newest list shows a VM as running.
 
-        :param vm: the VM.
+        :param vm: name of the VM.
         """
         listed = self.listed.get(vm)
         return listed is not None and listed.status is VmStatus.LIVE
 
     def is_leaving(self, vm: str) -> bool:
-        """Tell whether the platform is about to take a VM away.
+        """Whether the platform has announced that it will remove a VM.
 
-        :param vm: the VM.
+        :param vm: name of the VM.
         """
         listed = self.listed.get(vm)
         return listed is not None and listed.status is VmStatus.LEAVING
@@ -49,12 +49,12 @@
 
 @attrs.define
 class Observer:
-    """Keeps count of absences over successive lists.
+    """Counts the consecutive lists in which each VM is absent.
 
-    One list without a VM proves little, since lists lag and flicker; the VM
-    counts as missing after several in a row, and as present after one.
+    Lists lag and may omit a running VM, so one absence is no proof. A VM is missing
+    after several consecutive absences, and present again after one appearance.
 
-    :param needed: lists in a row.
+    :param needed: consecutive absences after which a VM is missing.
     """
 
     needed: int = defaults.ABSENT_OBSERVATIONS
@@ -65,23 +65,23 @@
     _made_at: float = float("-inf")
 
     def take(self, vm_list: VmList, known: t.Collection[str], now: float) -> None:
-        """Take in one list.
+        """Record a list; one that is not newer than the last is ignored.
 
         :param vm_list: the list.
-        :param known: VMs that belong to a pool.
-        :param now: monotonic seconds.
+        :param known: names of the VMs that belong to a pool.
+        :param now: monotonic time in seconds.
         """
         made_at = now - vm_list.age_s
         if made_at <= self._made_at:
             return
         self._made_at = made_at
         if vm_list.vms is self._vms:
-            # the same list again: whoever was absent is absent once more
+            # The platform sent the same list again; absent VMs are still absent.
             for vm in self._absences:
                 self._absences[vm] += 1
             return
         self._vms = vm_list.vms
-        self._sort_listed(vm_list.vms)
+        self._index_vms(vm_list.vms)
         for vm in known:
             listed = self._listed.get(vm)
             if listed is not None and listed.status is not VmStatus.DOWN:
@@ -89,22 +89,22 @@
             elif vm not in self._contradictory:
                 self._absences[vm] = self._absences.get(vm, 0) + 1
 
-    def _sort_listed(self, vms: t.Iterable[ListedVm]) -> None:
+    def _index_vms(self, vms: t.Iterable[ListedVm]) -> None:
         listed: dict[str, ListedVm] = {}
-        twice = set()
+        conflicting = set()
         for vm in vms:
             if vm.name in listed and listed[vm.name] != vm:
-                twice.add(vm.name)
+                conflicting.add(vm.name)
             listed[vm.name] = vm
-        for name in twice:
+        for name in conflicting:
             del listed[name]
         self._listed = listed
-        self._contradictory = frozenset(twice)
+        self._contradictory = frozenset(conflicting)
 
     def observe(self, now: float) -> Observation:
-        """Sum up what is known now.
+        """Build the observation from the lists recorded so far.
 
-        :param now: monotonic seconds.
+        :param now: monotonic time in seconds.
         """
         missing = frozenset(
             vm for vm, count in self._absences.items() if count >= self.needed
