--- a/src/onyxgap/fleet/pipe.py
+++ b/src/onyxgap/fleet/pipe.py
@@ -1,4 +1,4 @@
-"""The fleet pipe: observe, compare, plan, guard, act and record."""
+"""Reconciliation of pools: chooses the pools of a pass and plans their changes."""
 
 import typing as t
 
@@ -21,14 +21,15 @@
 from .planning import FreeVms
 from .planning import plan_pool
 
-STEADY_ROTATION = 30
-"""A pool with nothing to do is looked at in every 30th pass."""
+IDLE_POOL_INTERVAL_PASSES = 30
+"""A pool that needs no change is still reconciled in every 30th pass."""
 
 
 def list_pools(state: FleetState) -> list[str]:
-    """List declared pools and those that still have VMs, by name.
+    """List the names of declared pools and of pools that still have VMs.
 
-    :param state: the agreed state.
+    :param state: replicated state.
+    :returns: sorted names.
     """
     names = {name for name, vms in state.members.items() if vms}
     for chunk in state.chunks:
@@ -38,45 +39,52 @@
     return sorted(names)
 
 
-def list_owned(state: FleetState, me: str, controls: t.Collection[str]) -> list[str]:
-    """List the pools that this control looks after.
+def list_owned(
+    state: FleetState, own_name: str, controls: t.Collection[str]
+) -> list[str]:
+    """List the pools that this control process reconciles.
 
-    Two controls that disagree for a while both plan; the journal lets only
-    one of their entries stand.
+    While two control processes disagree on which of them are live, both may plan the
+    same pool. The journal accepts only one of their entries.
 
-    :param state: the agreed state.
-    :param me: name of this control.
-    :param controls: live controls.
+    :param state: replicated state.
+    :param own_name: name of this control process.
+    :param controls: names of the live control processes.
     """
-    return [name for name in list_pools(state) if pick_owner(name, controls) == me]
+    return [
+        name for name in list_pools(state) if pick_owner(name, controls) == own_name
+    ]
 
 
 @attrs.define
 class PoolSelector:
-    """Chooses the pools of a pass: those with something to do, others in turn."""
+    """Chooses the pools of a pass: those that need changes and some of the others.
 
-    _turn: int = 0
+    The others are chosen in turn; see :data:`IDLE_POOL_INTERVAL_PASSES`.
+    """
+
+    _pass_number: int = 0
 
     def choose(self, owned: t.Sequence[str], view: View) -> list[str]:
         """Choose the pools of the next pass.
 
-        :param owned: pools of this control.
-        :param view: what the pass looks at.
+        :param owned: names of the pools that this control process reconciles.
+        :param view: input of the reconciliation pass.
         """
-        self._turn += 1
+        self._pass_number += 1
         chosen = []
         for index, name in enumerate(owned):
-            due = (index + self._turn) % STEADY_ROTATION == 0
-            if due or needs_attention(name, view):
+            due = (index + self._pass_number) % IDLE_POOL_INTERVAL_PASSES == 0
+            if due or needs_reconciliation(name, view):
                 chosen.append(name)
         return chosen
 
 
-def needs_attention(name: str, view: View) -> bool:
-    """Tell whether a pool has anything that may call for a step.
+def needs_reconciliation(name: str, view: View) -> bool:
+    """Whether a pool may need events or orders.
 
-    :param name: the pool.
-    :param view: what the pass looks at.
+    :param name: name of the pool.
+    :param view: input of the reconciliation pass.
     """
     pool = find_wanted(view.state, name)
     members = view.state.members.get(name, set())
@@ -100,31 +108,34 @@
 def plan_pass(
     pools: t.Iterable[str], view: View, listed: t.Mapping[str, ListedTask]
 ) -> list[Step]:
-    """Plan the next step of several pools on one state.
+    """Plan the changes of several pools against the same state.
 
     :param pools: names of the pools.
-    :param view: what the pass looks at.
-    :param listed: attempts as the platform reports them.
+    :param view: input of the reconciliation pass.
+    :param listed: task attempts as the platform reports them, by attempt ID.
+    :returns: one plan per pool.
     """
     free = FreeVms(view)
     team_cores = TeamCores(view.state)
     steps = []
-    faulty = find_faulty(view.state.tasks)
+    faulty_vms = find_faulty(view.state.tasks)
     for name in pools:
         step = plan_pool(name, view, free)
-        _quarantine(name, faulty, view, step)
+        _quarantine_faulty_vms(name, faulty_vms, view, step)
         place_tasks(name, view.state, listed, team_cores, step)
         steps.append(step)
     return steps
 
 
-def _quarantine(name: str, faulty: set[str], view: View, step: Step) -> None:
+def _quarantine_faulty_vms(
+    name: str, faulty_vms: set[str], view: View, step: Step
+) -> None:
     pool = find_wanted(view.state, name)
-    touched = {getattr(event, "vm", "") for event in step.events}
-    records = [r for r in view.state.list_pool(name) if r.name not in touched]
+    changed_vms = {getattr(event, "vm", "") for event in step.events}
+    records = [r for r in view.state.list_pool(name) if r.name not in changed_vms]
     headroom = count_headroom(pool, records)
     for record in records:
-        if record.name not in faulty or record.state is not VmState.SERVING:
+        if record.name not in faulty_vms or record.state is not VmState.SERVING:
             continue
         reason = "fails tasks that run well elsewhere"
         step.report(Finding.FAULTY_WORKER, record.name, reason)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet pipe's decisions, one pool at a time."""
+"""Reconciliation of one pool: repair, maintenance, quarantine and task placement."""
 
 import itertools
 import typing as t
@@ -17,7 +17,7 @@
 from onyxgap.fleet.messages import StopOrder
 from onyxgap.fleet.messages import View
 from onyxgap.fleet.observation import Observer
-from onyxgap.fleet.pipe import needs_attention
+from onyxgap.fleet.pipe import needs_reconciliation
 from onyxgap.fleet.pipe import plan_pass
 from onyxgap.fleet.pricing import list_options
 from onyxgap.manifest import Manifest
@@ -44,8 +44,11 @@
 
 
 @attrs.define
-class Fleet:
-    """One pool of eight VMs, two spares, and what the platform lists."""
+class FleetHarness:
+    """Replicated state with one pool of eight VMs, and the platform's lists.
+
+    Two more VMs are listed and belong to no pool.
+    """
 
     manifest: Manifest
     state: FleetState = attrs.field(factory=FleetState)
@@ -57,7 +60,7 @@
     age_s: float = 0.0
     view: t.Any = None
 
-    def fold(self, *events: ev.Event) -> None:
+    def apply(self, *events: ev.Event) -> None:
         entry = Entry(self.state.sequence + 1, "c", self.wall, "w", "t", events)
         self.state.apply(entry)
 
@@ -77,7 +80,7 @@
 
     def advance(self) -> Step:
         step = self.plan()
-        self.fold(*step.events)
+        self.apply(*step.events)
         return step
 
     def set_vm(self, vm: str, **changes: t.Any) -> None:
@@ -86,13 +89,13 @@
 
 def build_fleet(
     tasks: t.Sequence[Task] = (), teams: t.Sequence[Team] = (), **pool: t.Any
-) -> Fleet:
+) -> FleetHarness:
     options = {"zones": {"a": 4, "b": 4}, "max_out": 2, **pool}
     manifest = Manifest(
         1, "d", list(ZONES), [Pool("p", **options)], [], list(tasks), list(teams)
     )
-    fleet = Fleet(manifest)
-    fleet.fold(ev.ManifestAccepted(1, split_manifest(manifest)))
+    fleet = FleetHarness(manifest)
+    fleet.apply(ev.ManifestAccepted(1, split_manifest(manifest)))
     for number in range(10):
         zone = ZONES[number % 2]
         name = f"vm-{number}"
@@ -108,21 +111,21 @@
     return [event for event in step.events if isinstance(event, kind)]
 
 
-def test_pool_is_filled_by_zone() -> None:
+def test_pool_gets_declared_number_of_vms_per_zone() -> None:
     fleet = build_fleet()
     zones = sorted(record.zone for record in fleet.state.list_pool("p"))
     assert zones == ["a"] * 4 + ["b"] * 4
     assert fleet.plan().events == []
 
 
-def test_shortage_is_reported_with_its_zone() -> None:
+def test_vm_shortfall_is_reported_with_its_zone() -> None:
     fleet = build_fleet(zones={"a": 6, "b": 4})
     (report,) = fleet.plan().reports
     assert report.finding is Finding.SHORT_OF_VMS
     assert "1 VMs short in a" in report.reason
 
 
-def test_failed_vm_is_rebooted_replaced_then_given_up() -> None:
+def test_failed_vm_is_rebooted_then_replaced_then_retired() -> None:
     fleet = build_fleet()
     fleet.set_vm("vm-0", status=VmStatus.DOWN)
     states = []
@@ -135,25 +138,25 @@
     assert states[-1] is VmState.RETIRED
     assert [order.action.value for order in orders] == ["reboot", "replace"]
     assert len({order.action_id for order in orders}) == 2
-    # a spare of the same zone has taken its place
+    # A free VM of the same zone has replaced it.
     assert fleet.state.vms["vm-8"].pool == "p"
     assert fleet.plan().reports[0].finding is Finding.GIVEN_UP
 
 
-def test_vm_that_flickers_once_is_left_alone() -> None:
+def test_vm_absent_from_one_list_is_not_missing() -> None:
     fleet = build_fleet()
     observer = Observer(needed=3)
     for number in range(4):
-        gone = () if number == 1 else tuple(fleet.vms.values())
-        observer.take(VmList(0.0, gone), fleet.state.vms.keys(), float(number))
+        vms = () if number == 1 else tuple(fleet.vms.values())
+        observer.take(VmList(0.0, vms), fleet.state.vms.keys(), float(number))
         assert not observer.observe(float(number)).missing
 
 
-def test_vm_listed_twice_is_reported_and_not_touched() -> None:
+def test_vm_listed_twice_is_reported_and_not_changed() -> None:
     fleet = build_fleet()
     observer = Observer(needed=1)
-    twin = attrs.evolve(fleet.vms["vm-0"], address="y:0")
-    vm_list = VmList(0.0, (*fleet.vms.values(), twin))
+    duplicate = attrs.evolve(fleet.vms["vm-0"], address="y:0")
+    vm_list = VmList(0.0, (*fleet.vms.values(), duplicate))
     observer.take(vm_list, fleet.state.vms.keys(), 0.0)
     view = View(fleet.state, observer.observe(0.0), 0.0, 1_000, {})
     (step,) = plan_pass(["p"], view, {})
@@ -162,10 +165,10 @@
 
 
 @pytest.mark.promise("budget")
-def test_wave_takes_no_more_than_the_budget_with_failures_counted() -> None:
+def test_maintenance_wave_halts_when_too_many_vms_have_failed() -> None:
     fleet = build_fleet(max_out=2)
     fleet.wall += 40 * DAY_S
-    fleet.fold(ev.VmFailed("vm-1", "gone"))
+    fleet.apply(ev.VmFailed("vm-1", "gone"))
     fleet.set_vm("vm-1", status=VmStatus.DOWN)
     step = fleet.plan()
     halted = [r for r in step.reports if r.finding is Finding.HALTED]
@@ -174,7 +177,7 @@
 
 
 @pytest.mark.promise("budget")
-def test_nothing_voluntary_on_a_stale_list() -> None:
+def test_stale_vm_list_blocks_maintenance() -> None:
     fleet = build_fleet()
     fleet.wall += 40 * DAY_S
     fleet.age_s = 60.0
@@ -184,38 +187,40 @@
     assert "60 s old" in overdue.reason
 
 
-def test_whole_wave_goes_zone_by_zone() -> None:
+def test_maintenance_wave_goes_zone_by_zone() -> None:
     fleet = build_fleet()
     fleet.wall += 40 * DAY_S
     order = []
     for _ in range(60):
         step = fleet.advance()
         order += [event.vm for event in find_events(step, ev.VmDraining)]
-        out = [r for r in fleet.state.vms.values() if r.state is not VmState.SERVING]
-        assert len(out) <= 2
-        assert len({record.zone for record in out}) <= 1
-        for record in out:
+        out_of_service = [
+            r for r in fleet.state.vms.values() if r.state is not VmState.SERVING
+        ]
+        assert len(out_of_service) <= 2
+        assert len({record.zone for record in out_of_service}) <= 1
+        for record in out_of_service:
             if record.state is VmState.DOWN:
                 fleet.set_vm(record.name, boots=fleet.vms[record.name].boots + 1)
     zones = [fleet.vms[vm].zone for vm in order]
     assert len(order) == len(set(order)) == 8
     assert zones == sorted(zones)
-    assert not needs_attention("p", fleet.view)
+    assert not needs_reconciliation("p", fleet.view)
 
 
-def test_due_pool_needs_attention() -> None:
+def test_pool_due_for_maintenance_needs_reconciliation() -> None:
     fleet = build_fleet()
     fleet.plan()
-    assert not needs_attention("p", fleet.view)
+    assert not needs_reconciliation("p", fleet.view)
     fleet.wall += 40 * DAY_S
     fleet.plan()
-    assert needs_attention("p", fleet.view)
+    assert needs_reconciliation("p", fleet.view)
 
 
 @pytest.mark.promise("leaving")
 def test_drain_waits_for_acknowledgement_and_requests() -> None:
     fleet = build_fleet()
-    fleet.fold(ev.VmDraining("vm-0", ev.Purpose.MAINTENANCE))
+    fleet.apply(ev.VmDraining("vm-0", ev.Purpose.MAINTENANCE))
     fleet.acknowledged = fleet.state.sequence - 1
     assert not find_events(fleet.plan(), ev.VmRestarting)
     fleet.acknowledged = fleet.state.sequence
@@ -226,9 +231,9 @@
 
 
 @pytest.mark.promise("graceful")
-def test_grace_that_passes_is_reported() -> None:
+def test_drain_ended_by_the_grace_period_is_reported() -> None:
     fleet = build_fleet()
-    fleet.fold(ev.VmDraining("vm-0", ev.Purpose.MAINTENANCE))
+    fleet.apply(ev.VmDraining("vm-0", ev.Purpose.MAINTENANCE))
     fleet.in_flight = {"vm-0": 3}
     fleet.wall += 31
     step = fleet.plan()
@@ -240,7 +245,7 @@
 def test_drain_waits_for_tasks() -> None:
     fleet = build_fleet([Task("t", "p", Priority.BULK, count=1)])
     (attempt,) = fleet.state.attempts.values()
-    fleet.fold(ev.VmDraining(attempt.vm, ev.Purpose.MAINTENANCE))
+    fleet.apply(ev.VmDraining(attempt.vm, ev.Purpose.MAINTENANCE))
     running = ListedTask(attempt.attempt, attempt.vm, TaskStatus.RUNNING)
     fleet.listed = {attempt.attempt: running}
     step = fleet.advance()
@@ -254,8 +259,8 @@
     assert find_events(fleet.plan(), ev.VmRestarting)
 
 
-def run_task(fleet: Fleet, status: TaskStatus) -> str:
-    """Let one open attempt end, and return the VM it ran on."""
+def end_attempt(fleet: FleetHarness, status: TaskStatus) -> str:
+    """End one open attempt with a status and return the VM that it ran on."""
     attempt = next(iter(fleet.state.attempts.values()))
     fleet.listed = {attempt.attempt: ListedTask(attempt.attempt, attempt.vm, status)}
     fleet.advance()
@@ -264,7 +269,7 @@
     return attempt.vm
 
 
-def test_tasks_spread_and_orders_are_repeated() -> None:
+def test_tasks_are_spread_over_vms_and_start_orders_repeated() -> None:
     fleet = build_fleet([Task("t", "p", Priority.BULK, count=4)])
     step = fleet.plan()
     starts = [order for order in step.orders if isinstance(order, StartTask)]
@@ -277,45 +282,46 @@
     for idempotent, starts in ((True, 2), (False, 1)):
         task = Task("t", "p", Priority.NORMAL, idempotent=idempotent)
         fleet = build_fleet([task])
-        run_task(fleet, TaskStatus.LOST)
+        end_attempt(fleet, TaskStatus.LOST)
         assert fleet.state.tasks["t"].started == starts
     assert fleet.plan().reports[0].finding is Finding.LOST_TASK
 
 
-def test_task_that_loses_its_vms_is_not_started_without_end() -> None:
+def test_task_that_keeps_losing_its_vms_is_not_restarted_forever() -> None:
     fleet = build_fleet([Task("bad", "p", Priority.NORMAL, idempotent=True)])
     vms = []
     while fleet.state.attempts and len(vms) < 20:
-        vms.append(run_task(fleet, TaskStatus.LOST))
+        vms.append(end_attempt(fleet, TaskStatus.LOST))
     assert len(vms) == LOST_IN_A_ROW
-    # a VM that fails by itself does not get it twice running
+    # The VM of the last lost attempt does not get the next one, since it may itself
+    # be faulty.
     assert all(first != second for first, second in itertools.pairwise(vms))
     report = fleet.plan().reports[0]
     assert report.finding is Finding.UNRUNNABLE
     assert "lost" in report.reason
 
 
-def test_task_that_has_run_is_started_again_after_a_loss() -> None:
+def test_task_that_has_succeeded_is_restarted_after_losses() -> None:
     fleet = build_fleet([Task("t", "p", Priority.NORMAL, count=2, idempotent=True)])
-    run_task(fleet, TaskStatus.DONE)
+    end_attempt(fleet, TaskStatus.DONE)
     for _ in range(2 * LOST_IN_A_ROW):
-        run_task(fleet, TaskStatus.LOST)
+        end_attempt(fleet, TaskStatus.LOST)
     assert fleet.state.attempts
 
 
-def test_tasks_that_lost_a_vm_are_placed_apart() -> None:
+def test_tasks_that_lost_a_vm_are_placed_on_different_vms() -> None:
     names = ["a", "b", "c"]
     fleet = build_fleet(
         [Task(name, "p", Priority.NORMAL, idempotent=True) for name in names]
     )
     for _ in names:
-        run_task(fleet, TaskStatus.LOST)
+        end_attempt(fleet, TaskStatus.LOST)
     assert len({attempt.vm for attempt in fleet.state.attempts.values()}) == len(names)
 
 
-def test_task_that_never_runs_is_told_from_a_worker_that_fails() -> None:
+def test_unrunnable_task_is_distinguished_from_faulty_vm() -> None:
     fleet = build_fleet([Task("bad", "p", Priority.NORMAL)])
-    vms = [run_task(fleet, TaskStatus.FAILED) for _ in range(3)]
+    vms = [end_attempt(fleet, TaskStatus.FAILED) for _ in range(3)]
     assert len(set(vms)) == 3
     assert find_unrunnable(fleet.state.tasks) == {"bad"}
     assert not fleet.state.attempts
@@ -325,7 +331,7 @@
     assert find_faulty({"bad": fleet.state.tasks["bad"]}) == set()
 
 
-def test_faulty_worker_is_quarantined_within_the_budget() -> None:
+def test_faulty_vm_is_quarantined_within_the_budget() -> None:
     fleet = build_fleet(max_out=1)
     for number in range(3):
         fleet.state.tasks[f"t{number}"] = TaskHistory(2, 1, 0, ["vm-0", "vm-2"])
@@ -335,7 +341,7 @@
     assert not find_events(fleet.plan(), ev.VmQuarantined)
 
 
-def test_urgent_task_preempts_the_fewest() -> None:
+def test_urgent_task_preempts_as_few_attempts_as_possible() -> None:
     bulk = Task("bulk", "p", Priority.BULK, cores=32, memory_gb=128, count=16)
     fleet = build_fleet([bulk])
     assert len(fleet.state.attempts) == 16
@@ -345,27 +351,29 @@
     }
     urgent = Task("now", "p", Priority.URGENT, cores=20, memory_gb=100)
     manifest = attrs.evolve(fleet.manifest, tasks=[bulk, urgent])
-    fleet.fold(ev.ManifestAccepted(2, split_manifest(manifest)))
+    fleet.apply(ev.ManifestAccepted(2, split_manifest(manifest)))
     stopping = find_events(fleet.advance(), ev.TaskStopping)
     assert len(stopping) == 1
     assert not find_events(fleet.plan(), ev.TaskStopping)
 
 
-def test_cancellation_wave_takes_one_pass() -> None:
+def test_many_cancelled_tasks_are_stopped_in_one_pass() -> None:
     tasks = [Task(f"t{n}", "p", Priority.BULK, count=4) for n in range(10)]
     fleet = build_fleet(tasks)
-    fleet.fold(ev.ManifestAccepted(2, {}, [f"tasks/t{number}" for number in range(10)]))
+    fleet.apply(
+        ev.ManifestAccepted(2, {}, [f"tasks/t{number}" for number in range(10)])
+    )
     assert len(find_events(fleet.plan(), ev.TaskStopping)) == 40
 
 
-def test_team_quota_caps_cores() -> None:
+def test_team_quota_limits_cores() -> None:
     task = Task("t", "p", Priority.BULK, team="x", cores=4, count=8)
     fleet = build_fleet([task], [Team("x", cores=10)])
     assert len(fleet.state.attempts) == 2
     assert fleet.plan().reports[0].finding is Finding.OVER_QUOTA
 
 
-def test_sizes_are_learned() -> None:
+def test_task_size_is_estimated_from_history() -> None:
     task = Task("t", "p", Priority.BULK, cores=1, memory_gb=1, run_time_s=10)
     assert estimate_size(task, None).memory_gb == 1.0
     history = TaskHistory(sizes=[(10.0, 20.0, 100.0)] * 5)
@@ -373,15 +381,15 @@
     assert (size.cores, size.memory_gb) == (pytest.approx(11), pytest.approx(22))
 
 
-def test_weights_choose_how_many_go_at_once() -> None:
+def test_weights_determine_parallel_maintenance() -> None:
     loads = [0, 0, 3, 3]
-    careful = list_options(loads, 4, Weights(moves=5, buffer=1, roll_out=1))
-    hasty = list_options(loads, 4, Weights(moves=0, buffer=0, roll_out=5))
-    assert careful[0].parallel < hasty[0].parallel == 4
-    assert careful[0].price < careful[1].price
+    gradual = list_options(loads, 4, Weights(moves=5, buffer=1, roll_out=1))
+    fast = list_options(loads, 4, Weights(moves=0, buffer=0, roll_out=5))
+    assert gradual[0].parallel < fast[0].parallel == 4
+    assert gradual[0].price < gradual[1].price
 
 
-def test_wave_prefers_vms_without_tasks() -> None:
+def test_maintenance_wave_takes_vms_without_tasks_first() -> None:
     fleet = build_fleet()
     pool = fleet.manifest.pools[0]
     records = [r for r in fleet.state.list_pool("p") if r.rack == "a-0"]
@@ -392,13 +400,13 @@
 
 def test_unchanged_list_counts_absences_like_a_new_one() -> None:
     fleet = build_fleet()
-    gone = tuple(vm for vm in fleet.vms.values() if vm.name != "vm-0")
-    same, fresh = Observer(needed=3), Observer(needed=3)
+    without_vm_0 = tuple(vm for vm in fleet.vms.values() if vm.name != "vm-0")
+    unchanged, copied = Observer(needed=3), Observer(needed=3)
     for number in range(4):
-        same.take(VmList(0.0, gone), fleet.state.vms.keys(), float(number))
-        copy = (*gone,)
-        assert copy is not gone
-        fresh.take(VmList(0.0, copy), fleet.state.vms.keys(), float(number))
+        unchanged.take(VmList(0.0, without_vm_0), fleet.state.vms.keys(), float(number))
+        copy = (*without_vm_0,)
+        assert copy is not without_vm_0
+        copied.take(VmList(0.0, copy), fleet.state.vms.keys(), float(number))
         now = float(number)
-        assert same.observe(now).missing == fresh.observe(now).missing
-    assert same.observe(4.0).missing == {"vm-0"}
+        assert unchanged.observe(now).missing == copied.observe(now).missing
+    assert unchanged.observe(4.0).missing == {"vm-0"}
