--- a/src/onyxgap/fleet/messages.py
+++ b/src/onyxgap/fleet/messages.py
@@ -78,8 +78,8 @@
     :param state: replicated state.
     :param observation: VMs as the platform lists them.
     :param wall: wall-clock time in seconds, for maintenance cycles and grace periods.
-    :param acknowledged: lowest of the journal sequences that the live entry processes
-        have applied.
+    :param acknowledged: lowest of the journal sequences that the
+        live entry processes have applied.
     :param in_flight: requests in flight by draining VM, summed over the live entry
         processes.
     :param cautious: whether voluntary disruptions and repairs are suspended.
