--- a/src/onyxgap/shared/membership.py
+++ b/src/onyxgap/shared/membership.py
@@ -1,4 +1,4 @@
-"""Which processes of the deployment are live, and whether we may serve."""
+"""Membership: which processes are live, and whether this one may serve requests."""
 
 import hashlib
 import typing as t
@@ -14,16 +14,16 @@
 
 @attrs.frozen(slots=True)
 class MemberRow:
-    """What a process writes about itself.
+    """The row by which a process announces itself to the others.
 
     :param name: unique name of the process.
     :param role: ``entry`` or ``control``.
-    :param peer: ``host:port`` for other processes.
+    :param peer: ``host:port`` on which it accepts frames of other processes.
     :param incarnation: token of this start of the process.
-    :param sequence: last journal entry it has folded.
-    :param stopping: whether a planned stop is under way.
-    :param draining: requests in flight by leaving VM.
-    :param http: ``host:port`` for callers or metrics.
+    :param sequence: last journal entry it has applied.
+    :param stopping: whether a planned stop is in progress.
+    :param draining: number of its requests in flight, by draining VM.
+    :param http: ``host:port`` of its HTTP server, for callers or metrics.
     :param zone: availability zone.
     """
 
@@ -39,44 +39,45 @@
 
 
 @attrs.define(slots=True)
-class _Seen:
+class _MemberStatus:
     row: MemberRow
     version: int
-    changed_at: float
-    heard_at: float
+    row_changed_at: float
+    last_heartbeat_at: float
 
 
 @attrs.define
 class Membership:
-    """Live members as seen by one process, on its own monotonic clock.
+    """Live members as seen by one process, by its own monotonic clock.
 
-    A member lapses when neither its row has changed nor a heartbeat of it
-    has been heard for ``lapse_s``; no wall clock of another machine counts.
+    A member times out when for ``lapse_s`` its row has not changed and no
+    heartbeat from it has been received. Clocks of other machines are not used.
 
     :param me: name of this process.
-    :param lapse_s: silence after which a member has lapsed, in seconds.
+    :param lapse_s: seconds without a heartbeat or a change of its row after which
+        a member has timed out.
     """
 
     me: str
     lapse_s: float = defaults.MEMBER_LAPSE_S
-    _seen: dict[str, _Seen] = attrs.field(factory=dict)
+    _statuses: dict[str, _MemberStatus] = attrs.field(factory=dict)
 
     def observe(self, rows: t.Iterable[tuple[MemberRow, int]], now: float) -> None:
-        """Take over the member rows of one scan.
+        """Update the members from one scan of the member rows.
 
         :param rows: each row with its version.
-        :param now: monotonic seconds before the scan was sent.
+        :param now: monotonic seconds, read before the scan was sent.
         """
         present = set()
         for row, version in rows:
             present.add(row.name)
-            seen = self._seen.get(row.name)
-            if seen is None or seen.row.incarnation != row.incarnation:
-                self._seen[row.name] = _Seen(row, version, now, now)
-            elif seen.version != version:
-                seen.row, seen.version, seen.changed_at = row, version, now
-        for name in set(self._seen) - present:
-            del self._seen[name]
+            status = self._statuses.get(row.name)
+            if status is None or status.row.incarnation != row.incarnation:
+                self._statuses[row.name] = _MemberStatus(row, version, now, now)
+            elif status.version != version:
+                status.row, status.version, status.row_changed_at = row, version, now
+        for name in set(self._statuses) - present:
+            del self._statuses[name]
 
     def hear(
         self,
@@ -86,55 +87,56 @@
         stopping: bool,
         now: float,
     ) -> bool:
-        """Take over a heartbeat.
+        """Record a heartbeat.
 
         :param name: the sender.
-        :param sequence: last journal entry it has folded.
-        :param draining: its requests in flight by leaving VM.
-        :param stopping: whether its planned stop is under way.
+        :param sequence: last journal entry the sender has applied.
+        :param draining: number of its requests in flight, by draining VM.
+        :param stopping: whether its planned stop is in progress.
         :param now: monotonic seconds.
-        :returns: whether the set of members that count has changed.
+        :returns: whether the set of live members that are not stopping has
+            changed.
         """
-        seen = self._seen.get(name)
-        if seen is None:
+        status = self._statuses.get(name)
+        if status is None:
             return False
-        changed = stopping != seen.row.stopping
-        changed = changed or self._silence(name, now) > self.lapse_s
-        seen.heard_at = now
-        seen.row = attrs.evolve(
-            seen.row,
-            sequence=max(sequence, seen.row.sequence),
+        changed = stopping != status.row.stopping
+        changed = changed or self._get_silent_s(name, now) > self.lapse_s
+        status.last_heartbeat_at = now
+        status.row = attrs.evolve(
+            status.row,
+            sequence=max(sequence, status.row.sequence),
             draining=dict(draining),
             stopping=stopping,
         )
         return changed
 
-    def is_anyone_silent(self, now: float, limit_s: float) -> bool:
-        """Tell whether another member has not been heard for a while.
+    def has_silent_peer(self, now: float, limit_s: float) -> bool:
+        """Tell whether heartbeats of another member are overdue.
 
         :param now: monotonic seconds.
-        :param limit_s: how long, in seconds.
+        :param limit_s: longest time since its last heartbeat, in seconds.
         """
         return any(
-            now - seen.heard_at > limit_s
-            for name, seen in self._seen.items()
+            now - status.last_heartbeat_at > limit_s
+            for name, status in self._statuses.items()
             if name != self.me
         )
 
     def find_address(self, name: str) -> str | None:
-        """Find the peer address of a known member, or ``None``.
+        """Return the peer address of a member, or ``None`` if it has no row.
 
         :param name: the member.
         """
-        seen = self._seen.get(name)
-        return None if seen is None else seen.row.peer
+        status = self._statuses.get(name)
+        return None if status is None else status.row.peer
 
     def list_known(self) -> list[MemberRow]:
-        """List every member that has a row, by name."""
-        return [self._seen[name].row for name in sorted(self._seen)]
+        """List all members that have a row, sorted by name."""
+        return [self._statuses[name].row for name in sorted(self._statuses)]
 
     def list_live(self, now: float, role: str | None = None) -> list[MemberRow]:
-        """List members that have not lapsed, by name.
+        """List the members that have not timed out, sorted by name.
 
         :param now: monotonic seconds.
         :param role: only members of this role.
@@ -143,12 +145,12 @@
         for row in self.list_known():
             if role not in (None, row.role):
                 continue
-            if row.name == self.me or self._silence(row.name, now) <= self.lapse_s:
+            if row.name == self.me or self._get_silent_s(row.name, now) <= self.lapse_s:
                 live.append(row)
         return live
 
     def list_lapsed(self, now: float, role: str | None = None) -> list[MemberRow]:
-        """List members that have a row but have lapsed, by name.
+        """List the members that have a row but have timed out, sorted by name.
 
         :param now: monotonic seconds.
         :param role: only members of this role.
@@ -161,86 +163,91 @@
         ]
 
     def list_forgotten(self, now: float, limit_s: float) -> list[tuple[str, int]]:
-        """List members silent for long, with the version of their row.
+        """List members whose rows may be removed, with the version of each row.
 
         :param now: monotonic seconds.
-        :param limit_s: silence, in seconds.
+        :param limit_s: least time without a heartbeat or a change of the row,
+            in seconds.
         """
         return [
-            (name, seen.version)
-            for name, seen in sorted(self._seen.items())
-            if name != self.me and self._silence(name, now) > limit_s
+            (name, status.version)
+            for name, status in sorted(self._statuses.items())
+            if name != self.me and self._get_silent_s(name, now) > limit_s
         ]
 
-    def _silence(self, name: str, now: float) -> float:
-        seen = self._seen[name]
-        return now - max(seen.changed_at, seen.heard_at)
+    def _get_silent_s(self, name: str, now: float) -> float:
+        status = self._statuses[name]
+        return now - max(status.row_changed_at, status.last_heartbeat_at)
 
 
 @attrs.define
 class Freshness:
-    """Decides whether a process knows enough of the present to serve.
+    """Decides whether the state of a process is fresh enough to serve requests.
 
-    It does while it has heard the store, or the majority of the members it
-    knows, within the limit. An outage of the store alone does not stop it;
-    being cut off from both does.
+    It is fresh if, within the limit, the store has answered or a majority of
+    the members, this process included, has confirmed the state by heartbeats.
+    So an outage of the store alone does not stop the process, but losing both
+    does. A process without other members stays fresh after the first answer of
+    the store.
 
-    :param limit_s: greatest age of what was heard, in seconds.
+    :param limit_s: greatest age of an answer or a heartbeat, in seconds.
     """
 
     limit_s: float = defaults.FRESHNESS_LIMIT_S
-    _store_at: float = float("-inf")
-    _peers: dict[str, float] = attrs.field(factory=dict)
+    _store_read_at: float = float("-inf")
+    _peer_heartbeats: dict[str, float] = attrs.field(factory=dict)
 
-    def hear_store(self, asked_at: float) -> None:
-        """Note an answer of the store.
+    def hear_store(self, sent_at: float) -> None:
+        """Record that the store answered a read.
 
-        :param asked_at: monotonic seconds before the question was sent.
+        :param sent_at: monotonic seconds, read before the request was sent.
         """
-        self._store_at = max(self._store_at, asked_at)
+        self._store_read_at = max(self._store_read_at, sent_at)
 
     def hear_peer(self, name: str, now: float) -> None:
-        """Note a heartbeat of a peer.
+        """Record a heartbeat of a peer that confirms the state.
 
         :param name: the peer.
         :param now: monotonic seconds.
         """
-        self._peers[name] = now
+        self._peer_heartbeats[name] = now
 
     def is_fresh(self, now: float, others: t.Collection[str]) -> bool:
-        """Tell whether this process may serve.
+        """Tell whether the state is fresh.
 
         :param now: monotonic seconds.
-        :param others: names of the other members that count.
+        :param others: names of the other members that count for the majority.
         """
-        if now - self._store_at <= self.limit_s:
+        if now - self._store_read_at <= self.limit_s:
             return True
-        if self._store_at == float("-inf") and not others:
+        if self._store_read_at == float("-inf") and not others:
             return False
-        heard = sum(
-            now - self._peers.get(name, float("-inf")) <= self.limit_s
+        confirmed = sum(
+            now - self._peer_heartbeats.get(name, float("-inf")) <= self.limit_s
             for name in others
         )
-        return 2 * (heard + 1) > len(others) + 1
+        return 2 * (confirmed + 1) > len(others) + 1
 
 
 def rank_by_hash(key: str, names: t.Iterable[str]) -> list[str]:
-    """Order names by rendezvous hashing, the owner of the key first.
+    """Order names by rendezvous hashing; the owner of the key comes first.
 
-    :param key: what is to be owned.
+    :param key: the key to assign.
     :param names: the candidates.
     """
 
-    def weigh(name: str) -> bytes:
+    def get_weight(name: str) -> bytes:
         return hashlib.blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
 
-    return sorted(names, key=weigh, reverse=True)
+    return sorted(names, key=get_weight, reverse=True)
 
 
 def pick_owner(key: str, names: t.Iterable[str]) -> str | None:
-    """Pick the owner of a key by rendezvous hashing, or ``None``.
+    """Choose the owner of a key by rendezvous hashing.
 
-    :param key: what is to be owned.
+    Returns ``None`` without candidates.
+
+    :param key: the key to assign.
     :param names: the candidates.
     """
     return next(iter(rank_by_hash(key, names)), None)
--- a/src/onyxgap/shared/node.py
+++ b/src/onyxgap/shared/node.py
@@ -1,7 +1,8 @@
-"""What entry and control processes share: journal, members and gossip.
+"""Common core of entry and control processes: journal, membership and gossip.
 
-A node follows the journal by polling it, hears newer entries from its peers,
-announces itself by a row and by heartbeats, and knows whether it may serve.
+A node polls the journal, pulls newer entries from its peers, announces itself by
+a member row and by heartbeats, and decides whether its state is fresh enough to
+serve requests.
 """
 
 import collections
@@ -33,20 +34,20 @@
 from .membership import Membership
 from .state import FleetState
 
-SCAN_INTERVAL_S = 10.0
-IDLE_HEARTBEAT_S = 3.0
-ALARM_HEARTBEAT_S = 0.7
+MEMBER_SCAN_INTERVAL_S = 10.0
+HEARTBEAT_INTERVAL_S = 3.0
+FAST_HEARTBEAT_INTERVAL_S = 0.7
 MEMBER_PAGE_ROWS = 500
 
-_ROWS = Converter(omit_if_default=True)
+_ROW_CONVERTER = Converter(omit_if_default=True)
 _LOG = structlog.get_logger()
 
 
 class PeerSender(t.Protocol):
-    """Sends frames to other members; drops them when they cannot be sent."""
+    """Sends frames to other members; drops frames that cannot be sent."""
 
     def send(self, address: str, frame: ttypes.Frame) -> None:
-        """Queue a frame for a member's address; never blocks."""
+        """Queue a frame for the address of a member without blocking."""
 
 
 OnChange = t.Callable[[t.Sequence[Entry]], None]
@@ -56,12 +57,17 @@
 class Node:
     """One process of the deployment.
 
-    :param row: what it says of itself.
+    :param row: its member row.
     :param platform: the platform's services.
-    :param peers: sends frames.
-    :param clocks: the clocks.
+    :param peers: sends frames to other members.
+    :param clocks: wall clock and monotonic clock.
     :param rng: seeded generator for tokens and jitter.
-    :param poll_interval_s: seconds between two reads of the journal.
+    :param poll_interval_s: interval of journal reads, in seconds.
+    :param loaded: whether the state has been loaded at start-up.
+    :param on_change: hooks that are called with the entries just applied.
+    :param on_members: hooks that are called when the membership may have changed.
+    :param count_draining: returns the number of requests in flight by draining
+        VM.
     """
 
     row: MemberRow
@@ -78,14 +84,15 @@
     on_change: list[OnChange] = attrs.field(factory=list)
     on_members: list[t.Callable[[], None]] = attrs.field(factory=list)
     count_draining: t.Callable[[], dict[str, int]] = dict
-    # peers that count for freshness: those live when the store last answered
-    _quorum: frozenset[str] = frozenset()
-    _retained: collections.deque[tuple[int, bytes]] = attrs.field(
+    # the peers whose majority decides on freshness: those that were live at the
+    # last successful scan of the member rows
+    _freshness_peers: frozenset[str] = frozenset()
+    _recent_entries: collections.deque[tuple[int, bytes]] = attrs.field(
         factory=lambda: collections.deque(maxlen=defaults.JOURNAL_RETAINED_ENTRIES)
     )
-    _scan_due: anyio.Event = attrs.field(factory=anyio.Event)
-    _row_due: anyio.Event = attrs.field(factory=anyio.Event)
-    _folding: anyio.Lock = attrs.field(factory=anyio.Lock)
+    _scan_requested: anyio.Event = attrs.field(factory=anyio.Event)
+    _row_write_requested: anyio.Event = attrs.field(factory=anyio.Event)
+    _apply_lock: anyio.Lock = attrs.field(factory=anyio.Lock)
 
     def __attrs_post_init__(self) -> None:
         self.journal = Journal(self.platform)
@@ -93,31 +100,33 @@
 
     @property
     def name(self) -> str:
-        """Name of this member."""
+        """Name of this process."""
         return self.row.name
 
     def now(self) -> float:
-        """Read monotonic seconds."""
+        """Read the monotonic clock, in seconds."""
         return self.clocks.read_monotonic()
 
     def may_serve(self) -> bool:
-        """Tell whether this process knows enough of the present to serve."""
-        return self.loaded and self.freshness.is_fresh(self.now(), self._quorum)
+        """Tell whether the state is loaded and fresh enough to serve requests."""
+        return self.loaded and self.freshness.is_fresh(
+            self.now(), self._freshness_peers
+        )
 
     def store_age(self) -> float:
-        """Seconds since the question of the last answered store read."""
-        return self.now() - self.freshness._store_at
+        """Seconds since the last successful read of the journal was sent."""
+        return self.now() - self.freshness._store_read_at
 
-    # life
+    # start-up and journal
 
     async def run(self) -> None:
-        """Load the state, then follow, announce and gossip until cancelled."""
+        """Load the state, then follow the journal and the members until cancelled."""
         async with anyio.create_task_group() as group:
             await self._load()
-            group.start_soon(self._follow)
-            group.start_soon(self._announce)
-            group.start_soon(self._scan)
-            group.start_soon(self._beat)
+            group.start_soon(self._poll_journal)
+            group.start_soon(self._renew_row)
+            group.start_soon(self._scan_members)
+            group.start_soon(self._send_heartbeats)
 
     async def _load(self) -> None:
         while not self.loaded:
@@ -125,66 +134,68 @@
                 self.state = await self.journal.load_state()
                 await self.catch_up()
                 await self._write_row()
-                await self._read_members()
+                await self._read_member_rows()
             except PlatformUnavailableError as error:
                 _LOG.warning("load-failed", member=self.name, reason=str(error))
                 await anyio.sleep(self.poll_interval_s)
                 continue
             self.loaded = True
             _LOG.info("loaded", member=self.name, sequence=self.state.sequence)
-            self._notify([])
+            self._run_change_hooks([])
 
-    async def _follow(self) -> None:
-        pause = self.poll_interval_s
+    async def _poll_journal(self) -> None:
+        interval_s = self.poll_interval_s
         while True:
             jitter = 0.9 + 0.2 * self.rng.random()
-            await anyio.sleep(pause * jitter)
+            await anyio.sleep(interval_s * jitter)
             try:
                 await self.catch_up()
-                pause = self.poll_interval_s
+                interval_s = self.poll_interval_s
             except PlatformUnavailableError as error:
-                pause = min(pause * 2, defaults.PLATFORM_BACKOFF_MAX_S)
+                interval_s = min(interval_s * 2, defaults.PLATFORM_BACKOFF_MAX_S)
                 _LOG.warning("poll-failed", member=self.name, reason=str(error))
 
     async def catch_up(self) -> None:
-        """Read and fold the entries that are new in the store.
+        """Read new entries from the store and apply them.
 
         :raises PlatformUnavailableError: when the store does not answer.
         """
         while True:
-            asked_at = self.now()
+            sent_at = self.now()
             entries = await self.journal.read_after(self.state.sequence)
-            self._fold(entries)
+            self._apply_entries(entries)
             if len(entries) < defaults.JOURNAL_PAGE_ROWS:
-                # only now nothing that stood when we asked is unknown to us
-                self.freshness.hear_store(asked_at)
+                # the page is not full: every entry that existed when this read was
+                # sent has been applied
+                self.freshness.hear_store(sent_at)
                 return
 
-    def _fold(self, entries: t.Iterable[Entry]) -> None:
-        fresh = []
+    def _apply_entries(self, entries: t.Iterable[Entry]) -> None:
+        applied = []
         for entry in entries:
             if entry.sequence != self.state.sequence + 1:
                 continue
             self.state.apply(entry)
             body = json.dumps(encode_entry(entry), separators=(",", ":"))
-            self._retained.append((entry.sequence, body.encode()))
-            fresh.append(entry)
-        if fresh:
-            self._notify(fresh)
-            self._beat_now()
-            self._row_due.set()
-
-    def _notify(self, entries: t.Sequence[Entry]) -> None:
+            self._recent_entries.append((entry.sequence, body.encode()))
+            applied.append(entry)
+        if applied:
+            self._run_change_hooks(applied)
+            self._broadcast_heartbeat()
+            self._row_write_requested.set()
+
+    def _run_change_hooks(self, entries: t.Sequence[Entry]) -> None:
         for hook in self.on_change:
             hook(entries)
 
     async def append(self, events: t.Sequence[Event], why: str) -> bool:
-        """Append one entry on top of the state as folded now.
+        """Append one entry that follows the current state.
 
-        :param events: what happens; all legal in the present state.
-        :param why: reason in a phrase.
-        :returns: whether it was appended; ``False`` means that the state has
-            moved on, or that nobody can tell, and the decision is void.
+        :param events: the events; all of them legal in the current state.
+        :param why: reason, as a short phrase.
+        :returns: whether the entry is known to be appended. ``False`` means
+            that another entry took its place or that the outcome is unknown;
+            the decision must then be made anew.
         """
         entry = Entry(
             sequence=self.state.sequence + 1,
@@ -200,13 +211,13 @@
             _LOG.warning("append-unknown", member=self.name, reason=str(error))
             return False
         if applied:
-            self._fold([entry])
+            self._apply_entries([entry])
         return applied
 
     # membership
 
     def refresh_row(self) -> MemberRow:
-        """Bring the row that this member shows up to date."""
+        """Update the member row of this process and return it."""
         self.row = attrs.evolve(
             self.row,
             sequence=self.state.sequence,
@@ -215,65 +226,67 @@
         return self.row
 
     async def _write_row(self) -> None:
-        value = _ROWS.unstructure(self.refresh_row())
+        value = _ROW_CONVERTER.unstructure(self.refresh_row())
         await self.platform.transact([Put(f"{MEMBER_PREFIX}{self.name}", value)])
 
-    async def _announce(self) -> None:
+    async def _renew_row(self) -> None:
         while True:
             with anyio.move_on_after(defaults.MEMBER_ROW_INTERVAL_S):
-                await self._row_due.wait()
-            self._row_due = anyio.Event()
+                await self._row_write_requested.wait()
+            self._row_write_requested = anyio.Event()
             await self._write_row()
-            # a burst of entries is acknowledged by one write
+            # one write acknowledges all entries of a burst
             await anyio.sleep(defaults.PLATFORM_BACKOFF_MIN_S)
 
     async def leave(self) -> None:
-        """Remove this member's row at a planned stop."""
+        """Remove the member row of this process at a planned stop."""
         await self.platform.transact([Put(f"{MEMBER_PREFIX}{self.name}", None)])
 
     def mark_stopping(self) -> None:
-        """Tell the others that a planned stop is under way."""
+        """Announce to the other members that a planned stop is in progress."""
         self.row = attrs.evolve(self.row, stopping=True)
-        self._row_due.set()
-        self._beat_now()
+        self._row_write_requested.set()
+        self._broadcast_heartbeat()
 
-    async def _scan(self) -> None:
+    async def _scan_members(self) -> None:
         while True:
-            with anyio.move_on_after(self._next_scan_s()):
-                await self._scan_due.wait()
-            self._scan_due = anyio.Event()
+            with anyio.move_on_after(self._get_scan_interval_s()):
+                await self._scan_requested.wait()
+            self._scan_requested = anyio.Event()
             try:
-                await self._read_members()
+                await self._read_member_rows()
             except PlatformUnavailableError as error:
                 _LOG.warning("scan-failed", member=self.name, reason=str(error))
             await anyio.sleep(self.poll_interval_s)
 
-    def _next_scan_s(self) -> float:
-        # someone is silent: look whether it still renews its row
-        silent = self.membership.is_anyone_silent(self.now(), IDLE_HEARTBEAT_S * 1.5)
-        return self.poll_interval_s if silent else SCAN_INTERVAL_S
+    def _get_scan_interval_s(self) -> float:
+        # heartbeats of a peer are overdue: check whether it still renews its row
+        silent = self.membership.has_silent_peer(self.now(), HEARTBEAT_INTERVAL_S * 1.5)
+        return self.poll_interval_s if silent else MEMBER_SCAN_INTERVAL_S
 
-    async def _read_members(self) -> None:
-        asked_at = self.now()
+    async def _read_member_rows(self) -> None:
+        sent_at = self.now()
         rows = await self.platform.scan(MEMBER_PREFIX, MEMBER_PREFIX, MEMBER_PAGE_ROWS)
         members = []
         for row in rows:
             try:
-                members.append((_ROWS.structure(row.value, MemberRow), row.version))
-            except Exception as error:  # foreign rows hold anything
+                members.append(
+                    (_ROW_CONVERTER.structure(row.value, MemberRow), row.version)
+                )
+            except Exception as error:  # a foreign row may hold any value
                 _LOG.warning("foreign-row", key=row.key, reason=str(error))
-        self.membership.observe(members, asked_at)
+        self.membership.observe(members, sent_at)
         live = self.membership.list_live(self.now())
-        self._quorum = frozenset(row.name for row in live) - {self.name}
-        self.notify_members()
+        self._freshness_peers = frozenset(row.name for row in live) - {self.name}
+        self.run_membership_hooks()
 
-    def notify_members(self) -> None:
-        """Run the hooks for a change of membership."""
+    def run_membership_hooks(self) -> None:
+        """Call the hooks for changes of the membership."""
         for hook in self.on_members:
             hook()
 
     def find_address(self, name: str) -> str | None:
-        """Find the peer address of a member, or ``None``.
+        """Return the peer address of a member, or ``None`` if it has no row.
 
         :param name: the member.
         """
@@ -281,15 +294,17 @@
 
     # gossip
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            alarmed = self.store_age() > defaults.FRESHNESS_LIMIT_S / 2
-            self._beat_now(probe=alarmed)
-            if alarmed:
-                self.notify_members()
-            await anyio.sleep(ALARM_HEARTBEAT_S if alarmed else IDLE_HEARTBEAT_S)
-
-    def _beat_now(self, probe: bool = False) -> None:
+            store_overdue = self.store_age() > defaults.FRESHNESS_LIMIT_S / 2
+            self._broadcast_heartbeat(probe=store_overdue)
+            if store_overdue:
+                self.run_membership_hooks()
+            await anyio.sleep(
+                FAST_HEARTBEAT_INTERVAL_S if store_overdue else HEARTBEAT_INTERVAL_S
+            )
+
+    def _broadcast_heartbeat(self, probe: bool = False) -> None:
         frame = self._build_heartbeat()
         frame.probe = probe or None
         for row in self.membership.list_known():
@@ -306,14 +321,14 @@
         return ttypes.Frame(sender=self.name, heartbeat=heartbeat)
 
     def handle_frame(self, frame: ttypes.Frame) -> None:
-        """Take in a frame of another member.
+        """Handle a frame of another member.
 
         :param frame: the frame.
         """
         address = self.find_address(frame.sender)
         if address is None:
-            # a newcomer: learn its row before answering it
-            self._scan_due.set()
+            # a new member: read its row before answering it
+            self._scan_requested.set()
             return
         if frame.heartbeat is not None:
             self._handle_heartbeat(frame.sender, address, frame.heartbeat)
@@ -335,16 +350,16 @@
             self.now(),
         )
         if heartbeat.sequence <= self.state.sequence:
-            # a peer that knows more proves that we are behind, not fresh
+            # a peer that has applied more entries shows that this state is outdated
             self.freshness.hear_peer(sender, self.now())
         elif self.loaded:
             pull = ttypes.JournalPull(after=self.state.sequence)
             self.peers.send(address, ttypes.Frame(sender=self.name, pull=pull))
         if changed:
-            self.notify_members()
+            self.run_membership_hooks()
 
     def _build_page(self, after: int) -> ttypes.Frame:
-        bodies = [body for sequence, body in self._retained if sequence > after]
+        bodies = [body for sequence, body in self._recent_entries if sequence > after]
         page = ttypes.JournalPage(entries=bodies[: defaults.JOURNAL_PAGE_ROWS])
         return ttypes.Frame(sender=self.name, page=page)
 
@@ -359,9 +374,9 @@
                 _LOG.warning("bad-page", member=self.name)
                 return
             entries.append(entry)
-        self._fold(entries)
+        self._apply_entries(entries)
 
     def list_entries(self) -> list[str]:
-        """List the live entries that are not stopping."""
+        """List the names of the live entry processes that are not stopping."""
         live = self.membership.list_live(self.now(), ENTRY_ROLE)
         return [row.name for row in live if not row.stopping]
