--- a/src/onyxgap/shared/__init__.py
+++ b/src/onyxgap/shared/__init__.py
@@ -1,1 +1,1 @@
-"""What the processes of one deployment agree on."""
+"""Journal, replicated state and membership shared by all processes."""
--- a/src/onyxgap/shared/events.py
+++ b/src/onyxgap/shared/events.py
@@ -1,4 +1,4 @@
-"""Typed events of the journal; all agreed state is a fold over them."""
+"""Event types of the journal; the replicated state is built by applying them."""
 
 import enum
 import typing as t
@@ -9,7 +9,7 @@
 
 
 class Purpose(enum.Enum):
-    """Why a VM drains."""
+    """Why a VM is drained."""
 
     MAINTENANCE = "maintenance"
     MOVE = "move"
@@ -19,12 +19,13 @@
 
 @attrs.frozen(slots=True)
 class ManifestAccepted:
-    """A new manifest version, as the difference from the one before.
+    """A new manifest version, as the difference from the previous one.
 
     :param version: the new version.
-    :param changed: JSON value by chunk name.
-    :param removed: names of chunks that are gone.
-    :param digest: object that holds ``changed`` when it is too large for a row.
+    :param changed: added and changed chunks: JSON value by chunk name.
+    :param removed: names of removed chunks.
+    :param digest: digest of the object that holds ``changed`` when it is too
+        large for a row.
     """
 
     version: int
@@ -35,7 +36,7 @@
 
 @attrs.frozen(slots=True)
 class VmJoined:
-    """A free VM joins a pool and serves."""
+    """A free VM joins a pool and is in service."""
 
     vm: str
     pool: str
@@ -50,7 +51,7 @@
 
 @attrs.frozen(slots=True)
 class VmDraining:
-    """A VM takes no new work from now on."""
+    """A VM starts to drain: it accepts no new work."""
 
     vm: str
     purpose: Purpose
@@ -58,14 +59,14 @@
 
 @attrs.frozen(slots=True)
 class VmReleased:
-    """A drained or retired VM leaves its pool and is free."""
+    """A draining or retired VM leaves its pool and is free."""
 
     vm: str
 
 
 @attrs.frozen(slots=True)
 class VmRestarting:
-    """A power action is due; the platform ignores an action id it knows."""
+    """A power action on a VM is due; the platform ignores a repeated action ID."""
 
     vm: str
     action: str
@@ -75,7 +76,7 @@
 
 @attrs.frozen(slots=True)
 class VmReturned:
-    """A VM serves again after a restart, a failure or a cancelled drain."""
+    """A VM is back in service after a restart, a failure or a cancelled drain."""
 
     vm: str
     boots: int
@@ -85,7 +86,7 @@
 
 @attrs.frozen(slots=True)
 class VmFailed:
-    """A VM is not available and did not go by choice."""
+    """A VM became unavailable through an involuntary disruption."""
 
     vm: str
     reason: str
@@ -93,7 +94,7 @@
 
 @attrs.frozen(slots=True)
 class VmQuarantined:
-    """A VM is live but fails what it is given."""
+    """A VM is up, but the work placed on it fails."""
 
     vm: str
     reason: str
@@ -101,7 +102,7 @@
 
 @attrs.frozen(slots=True)
 class VmRetired:
-    """Repair of a VM has been given up."""
+    """A VM is no longer repaired."""
 
     vm: str
     reason: str
@@ -109,7 +110,7 @@
 
 @attrs.frozen(slots=True)
 class TaskStarted:
-    """An attempt at a task holds room on a VM from now on."""
+    """An attempt at a task starts and reserves capacity on a VM."""
 
     task: str
     attempt: str
@@ -120,7 +121,7 @@
 
 @attrs.frozen(slots=True)
 class TaskEnded:
-    """An attempt has ended and its room is free."""
+    """An attempt has ended; its capacity is released."""
 
     attempt: str
     outcome: str
@@ -131,7 +132,7 @@
 
 @attrs.frozen(slots=True)
 class TaskStopping:
-    """An attempt is being stopped to make room or for a drain."""
+    """An attempt is being stopped, to free capacity or for a drain."""
 
     attempt: str
     reason: str
@@ -155,14 +156,16 @@
 
 @attrs.frozen(slots=True)
 class Entry:
-    """One atomic step of the journal.
+    """One journal entry: events that are committed together.
 
     :param sequence: position; entries are numbered from 1 without gaps.
-    :param author: member or operator who wrote it.
-    :param at: wall-clock time of the author in seconds, for people only.
-    :param why: reason in a phrase.
-    :param token: unique token of the writer, to settle lost answers.
-    :param events: what happened, in order.
+    :param author: member or operator that wrote it.
+    :param at: wall-clock time of the author, in seconds; maintenance cycles and
+        the time limits of drains and reboots start from it.
+    :param why: reason, as a short phrase.
+    :param token: unique token; shows whether an append took effect when its
+        answer was lost.
+    :param events: the events, in order.
     """
 
     sequence: int
@@ -183,7 +186,7 @@
 
 
 def encode_entry(entry: Entry) -> dict[str, t.Any]:
-    """Turn an entry into its JSON value.
+    """Encode an entry as a JSON value.
 
     :param entry: the entry.
     """
@@ -191,11 +194,11 @@
 
 
 def decode_entry(value: t.Any) -> Entry | None:
-    """Turn a JSON value into an entry; ``None`` for a corrupt or foreign row.
+    """Decode an entry, or return ``None`` for a corrupt or foreign row.
 
     :param value: JSON value of the row.
     """
     try:
         return CONVERTER.structure(value, Entry)
-    except Exception:  # foreign rows hold anything; the caller reports them
+    except Exception:  # a foreign row may hold any value; the caller reports it
         return None
--- a/src/onyxgap/shared/journal.py
+++ b/src/onyxgap/shared/journal.py
@@ -1,8 +1,8 @@
-"""The journal: ordered entries in the platform's table, appended by condition.
+"""The journal: an append-only log in the platform's table, with conditional appends.
 
-An entry's row key is its sequence number, and a row is only ever inserted
-where none stands. A decision taken on a state that is no longer the newest
-therefore has no effect, whoever took it and however long it was paused.
+The row key of an entry contains its sequence number, and a row is inserted only
+if the key is absent. A decision based on an outdated state therefore has no
+effect, no matter which process made it or how long that process was suspended.
 """
 
 import json
@@ -31,38 +31,39 @@
 
 PREFIX = "journal/"
 SNAPSHOT_KEY = "snapshot"
-SETTLE_ATTEMPTS = 4
+APPEND_ATTEMPTS = 4
 
 
 class Store(Table, ObjectStore, t.Protocol):
-    """The two services of the platform that keep data."""
+    """The two storage services of the platform: table and object store."""
 
 
 def format_key(sequence: int) -> str:
     """Build the row key of an entry.
 
-    :param sequence: its number.
+    :param sequence: sequence number of the entry.
     """
     return f"{PREFIX}{sequence:012d}"
 
 
 @attrs.define
 class Journal:
-    """Reads and appends entries.
+    """Reads and appends journal entries and snapshots.
 
     :param store: table and object store.
+    :param corrupt: keys of the corrupt rows that were read.
     """
 
     store: Store
     corrupt: list[str] = attrs.field(factory=list)
 
     async def read_after(self, sequence: int) -> list[Entry]:
-        """Read the entries that follow a sequence number.
+        """Read one page of entries after a sequence number.
 
-        A corrupt or foreign row counts as an empty entry and is reported
-        in ``corrupt``.
+        A corrupt or foreign row is read as an entry without events, and its
+        key is added to ``corrupt``.
 
-        :param sequence: last entry already known.
+        :param sequence: sequence number of the last known entry.
         :raises PlatformUnavailableError: when the store does not answer.
         """
         after = format_key(sequence)
@@ -72,7 +73,7 @@
             entry = self._decode(row, expected)
             if entry is None:
                 break
-            entries.append(await self._inflate(entry))
+            entries.append(await self._load_entry_chunks(entry))
         return entries
 
     def _decode(self, row: Row, expected: int) -> Entry | None:
@@ -84,48 +85,52 @@
             return Entry(expected, "", 0.0, "corrupt row", "", ())
         return entry
 
-    async def _inflate(self, entry: Entry) -> Entry:
-        inflated = [await self._load_chunks(event) for event in entry.events]
-        return attrs.evolve(entry, events=tuple(inflated))
+    async def _load_entry_chunks(self, entry: Entry) -> Entry:
+        loaded = [await self._load_event_chunks(event) for event in entry.events]
+        return attrs.evolve(entry, events=tuple(loaded))
 
-    async def _load_chunks(self, event: Event) -> Event:
+    async def _load_event_chunks(self, event: Event) -> Event:
         if not isinstance(event, ManifestAccepted) or event.digest is None:
             return event
         body = await self.store.get_object(event.digest)
         return attrs.evolve(event, changed=json.loads(body), digest=None)
 
     async def append(self, entry: Entry) -> bool:
-        """Append an entry if its number is still free.
+        """Append an entry if its sequence number is not taken.
 
-        An unknown outcome is settled by repeating the same insert: it either
-        applies now or meets a row, whose token tells whose it is.
+        When the outcome of a write is unknown, the same insert is repeated. It
+        is then applied or finds a row, and the token of that row shows whether
+        the earlier write was applied.
 
         :param entry: the entry; its sequence is the newest known plus one.
-        :returns: whether it stands in the journal.
-        :raises UnknownOutcomeError: when it could not be settled.
+        :returns: whether the entry is in the journal.
+        :raises UnknownOutcomeError: when the outcome is still unknown after
+            the last attempt.
         """
-        value = encode_entry(await self._deflate(entry))
+        value = encode_entry(await self._store_entry_chunks(entry))
         put = Put(format_key(entry.sequence), value, ABSENT)
-        for _ in range(SETTLE_ATTEMPTS):
+        for _ in range(APPEND_ATTEMPTS):
             result = await self.store.transact([put])
             if result.outcome is WriteOutcome.APPLIED:
                 return True
             if result.outcome is WriteOutcome.NOT_APPLIED:
-                return await self._is_ours(entry)
-        raise UnknownOutcomeError(f"journal entry {entry.sequence}")
+                return await self._has_own_token(entry)
+        raise UnknownOutcomeError(
+            f"outcome of appending journal entry {entry.sequence} is unknown"
+        )
 
-    async def _is_ours(self, entry: Entry) -> bool:
+    async def _has_own_token(self, entry: Entry) -> bool:
         try:
             row = await self.store.get(format_key(entry.sequence))
         except PlatformUnavailableError as error:
             raise UnknownOutcomeError(str(error)) from None
         return not isinstance(row, Missing) and row.value.get("token") == entry.token
 
-    async def _deflate(self, entry: Entry) -> Entry:
-        deflated = [await self._store_chunks(event) for event in entry.events]
-        return attrs.evolve(entry, events=tuple(deflated))
+    async def _store_entry_chunks(self, entry: Entry) -> Entry:
+        stored = [await self._store_event_chunks(event) for event in entry.events]
+        return attrs.evolve(entry, events=tuple(stored))
 
-    async def _store_chunks(self, event: Event) -> Event:
+    async def _store_event_chunks(self, event: Event) -> Event:
         if not isinstance(event, ManifestAccepted):
             return event
         body = json.dumps(event.changed, separators=(",", ":")).encode()
@@ -135,7 +140,10 @@
         return attrs.evolve(event, changed={}, digest=digest)
 
     async def load_state(self) -> FleetState:
-        """Read the newest snapshot, or the empty state.
+        """Load the state of the latest snapshot.
+
+        Returns the empty state when there is no snapshot or it is corrupt. The
+        key of a corrupt snapshot is added to ``corrupt``.
 
         :raises PlatformUnavailableError: when the store does not answer.
         """
@@ -149,10 +157,10 @@
             return FleetState()
 
     async def save_snapshot(self, state: FleetState) -> bool:
-        """Write a snapshot unless a newer one stands.
+        """Write a snapshot unless the stored one is as new or newer.
 
         :param state: the state to write.
-        :returns: whether it stands.
+        :returns: whether the snapshot is known to have been written.
         :raises PlatformUnavailableError: when the store does not answer.
         """
         row = await self.store.get(SNAPSHOT_KEY)
--- a/src/onyxgap/shared/records.py
+++ b/src/onyxgap/shared/records.py
@@ -1,4 +1,4 @@
-"""Records of the agreed state: VMs, running attempts and task histories."""
+"""Records of the replicated state: VMs, running attempts and task histories."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class VmState(enum.Enum):
-    """Where a VM of a pool stands."""
+    """Lifecycle state of a VM in a pool."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -22,10 +22,11 @@
 class VmRecord:
     """A VM that belongs to a pool.
 
-    :param since: sequence of the entry that led to the present state.
-    :param at: author's wall clock of that entry, in seconds.
-    :param repairs: power actions since it last served.
-    :param maintained_at: wall clock of the last maintenance, in seconds.
+    :param since: sequence number of the entry that set the current state.
+    :param at: wall-clock time at which its author wrote that entry, in seconds.
+    :param repairs: power actions since it was last in service.
+    :param maintained_at: wall-clock time at which it joined or was last maintained,
+        in seconds.
     """
 
     name: str
@@ -64,15 +65,15 @@
 
 @attrs.define(slots=True)
 class TaskHistory:
-    """What is known of a task from its ended attempts.
+    """Statistics of a task's attempts.
 
     :param started: attempts started so far.
-    :param done: attempts that ended well.
-    :param lost: attempts of which nobody can say whether they ran.
-    :param failed_on: VMs on which it failed.
-    :param sizes: last measured ``(cores, memory_gb, run_time_s)``.
-    :param lost_in_a_row: attempts lost since one ended well.
-    :param lost_on: VM of the last of these, or empty.
+    :param done: attempts that succeeded.
+    :param lost: attempts of which it is unknown whether they ran.
+    :param failed_on: VMs on which it failed and that have not been restored since.
+    :param sizes: latest measured ``(cores, memory_gb, run_time_s)``, oldest first.
+    :param lost_in_a_row: attempts lost since the last success.
+    :param lost_on: VM of the last lost attempt, or empty.
     """
 
     started: int = 0
