--- a/src/onyxgap/shared/snapshots.py
+++ b/src/onyxgap/shared/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the agreed state, so that a new process reads few entries."""
+"""Snapshots of the replicated state, which shorten the replay at start-up."""
 
 import json
 import typing as t
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Snapshot:
-    """The part of :class:`FleetState` that is not derived."""
+    """The fields of :class:`FleetState` that are not derived."""
 
     sequence: int
     version: int
@@ -29,7 +29,7 @@
 
 
 def encode_snapshot(state: FleetState) -> bytes:
-    """Write the state down, compressed.
+    """Encode the state as compressed JSON.
 
     :param state: the state.
     """
@@ -47,22 +47,22 @@
 
 
 def decode_snapshot(body: bytes) -> FleetState:
-    """Rebuild the state.
+    """Restore the state from a snapshot.
 
-    :param body: what :func:`encode_snapshot` wrote.
-    :raises ValueError: when the bytes are damaged.
+    :param body: output of :func:`encode_snapshot`.
+    :raises ValueError: when the snapshot is corrupt.
     """
     try:
         document = json.loads(zlib.decompress(body))
         snapshot = _CONVERTER.structure(document, Snapshot)
     except Exception as error:
-        raise ValueError(f"damaged snapshot: {error}") from None
+        raise ValueError(f"corrupt snapshot: {error}") from None
     state = FleetState(
         sequence=snapshot.sequence,
         version=snapshot.version,
         version_author=snapshot.version_author,
     )
-    state.load_chunks(snapshot.chunks)
+    state.update_chunks(snapshot.chunks)
     for record in snapshot.vms:
         state.add_vm(record)
     for attempt in snapshot.attempts:
--- a/src/onyxgap/shared/state.py
+++ b/src/onyxgap/shared/state.py
@@ -1,4 +1,4 @@
-"""The agreed state of a deployment: a fold over the journal's events."""
+"""Replicated state of a deployment, built by applying journal entries in order."""
 
 import collections
 import functools
@@ -17,8 +17,9 @@
 from .records import VmRecord
 from .records import VmState
 
-SIZES_KEPT = 20
-NO_CYCLE_DAYS = 3_650
+MAX_SIZES = 20
+# without a manifest there is in effect no maintenance cycle
+DEFAULT_MAINTENANCE_DAYS = 3_650
 
 _TRANSITIONS: dict[tuple[VmState, type], VmState] = {
     (VmState.SERVING, ev.VmDraining): VmState.DRAINING,
@@ -40,10 +41,19 @@
 
 @attrs.define
 class FleetState:
-    """Everything agreed on, as of one sequence number.
-
-    :param sequence: last folded entry.
-    :param version: manifest version in force.
+    """The replicated state as of one sequence number.
+
+    :param sequence: last applied entry.
+    :param version: current manifest version.
+    :param version_author: author of the current manifest version.
+    :param chunks: JSON value of the current manifest by chunk name.
+    :param vms: VMs of all pools by name.
+    :param members: names of the VMs by pool.
+    :param attempts: running attempts by ID.
+    :param tasks: history by task name.
+    :param rejected_events: events that were illegal when they were applied.
+    :param tasks_in: tasks of the current manifest by pool and name.
+    :param attempts_in: running attempts by pool and ID.
     """
 
     sequence: int = 0
@@ -58,44 +68,48 @@
     tasks: dict[str, TaskHistory] = attrs.field(
         factory=lambda: collections.defaultdict(TaskHistory)
     )
-    refused: int = 0
+    rejected_events: int = 0
     tasks_in: dict[str, dict[str, Task]] = attrs.field(
         factory=lambda: collections.defaultdict(dict)
     )
     attempts_in: dict[str, dict[str, Attempt]] = attrs.field(
         factory=lambda: collections.defaultdict(dict)
     )
-    _structured: dict[str, t.Any] = attrs.field(factory=dict)
+    _structured_chunks: dict[str, t.Any] = attrs.field(factory=dict)
     _manifest: Manifest | None = None
 
     @property
     def manifest(self) -> Manifest | None:
-        """The manifest in force, or ``None`` before the first one."""
+        """The current manifest, or ``None`` before the first one."""
         if self._manifest is None and self.chunks:
-            self._manifest = join_chunks(self._structured)
+            self._manifest = join_chunks(self._structured_chunks)
         return self._manifest
 
     @property
     def maintenance_days(self) -> int:
-        """Length of the maintenance cycle in days."""
-        return self.manifest.maintenance_days if self.manifest else NO_CYCLE_DAYS
+        """Length of the maintenance cycle, in days."""
+        return (
+            self.manifest.maintenance_days
+            if self.manifest
+            else DEFAULT_MAINTENANCE_DAYS
+        )
 
     def find_pool(self, name: str) -> Pool | None:
-        """Look up a pool of the manifest in force.
+        """Look up a pool of the current manifest, or return ``None``.
 
         :param name: name of the pool.
         """
-        return t.cast(Pool | None, self._structured.get(f"pools/{name}"))
+        return t.cast(Pool | None, self._structured_chunks.get(f"pools/{name}"))
 
     def find_chunk(self, name: str) -> t.Any:
-        """Look up one structured chunk, or ``None``.
+        """Look up a decoded chunk of the current manifest, or return ``None``.
 
         :param name: chunk name, such as ``services/ring``.
         """
-        return self._structured.get(name)
+        return self._structured_chunks.get(name)
 
     def list_pool(self, name: str) -> list[VmRecord]:
-        """List the VMs of a pool by name.
+        """List the VMs of a pool, sorted by name.
 
         :param name: name of the pool.
         """
@@ -106,10 +120,10 @@
 
         :param event: the event.
         """
-        return _ACCEPT.get(type(event), _always)(self, event)
+        return _LEGALITY_CHECKS.get(type(event), _accept_always)(self, event)
 
     def apply(self, entry: ev.Entry) -> None:
-        """Fold one entry; illegal events are counted and have no effect.
+        """Apply one entry; illegal events are counted and have no effect.
 
         :param entry: the entry that follows ``sequence``.
         """
@@ -118,56 +132,56 @@
             if self.accepts(event):
                 _apply(event, self, entry)
             else:
-                self.refused += 1
+                self.rejected_events += 1
 
-    def load_chunks(self, chunks: t.Mapping[str, t.Any]) -> None:
-        """Take chunks over from a snapshot.
+    def update_chunks(self, chunks: t.Mapping[str, t.Any]) -> None:
+        """Add or replace chunks of the manifest.
 
         :param chunks: JSON value by name.
         """
         self._manifest = None
         self.chunks.update(chunks)
         for name, value in chunks.items():
-            self._forget_task(name)
+            self._remove_task(name)
             chunk = structure_chunk(name, value)
-            self._structured[name] = chunk
+            self._structured_chunks[name] = chunk
             if isinstance(chunk, Task):
                 self.tasks_in[chunk.pool][chunk.name] = chunk
 
-    def drop_chunk(self, name: str) -> None:
-        """Forget one chunk.
+    def remove_chunk(self, name: str) -> None:
+        """Remove a chunk of the manifest.
 
         :param name: its name.
         """
         self._manifest = None
-        self._forget_task(name)
+        self._remove_task(name)
         self.chunks.pop(name, None)
-        self._structured.pop(name, None)
+        self._structured_chunks.pop(name, None)
 
-    def _forget_task(self, name: str) -> None:
-        chunk = self._structured.get(name)
+    def _remove_task(self, name: str) -> None:
+        chunk = self._structured_chunks.get(name)
         if isinstance(chunk, Task):
             self.tasks_in[chunk.pool].pop(chunk.name, None)
 
     def add_attempt(self, attempt: Attempt) -> None:
-        """Put a running attempt on its VM.
+        """Add a running attempt.
 
         :param attempt: the attempt.
         """
         self.attempts[attempt.attempt] = attempt
         self.attempts_in[attempt.pool][attempt.attempt] = attempt
 
-    def end_attempt(self, name: str) -> Attempt:
-        """Take an attempt away and return it.
+    def remove_attempt(self, name: str) -> Attempt:
+        """Remove a running attempt and return it.
 
-        :param name: id of the attempt.
+        :param name: ID of the attempt.
         """
         attempt = self.attempts.pop(name)
         self.attempts_in[attempt.pool].pop(name, None)
         return attempt
 
     def count_attempts(self, pool: str) -> t.Callable[[str], int]:
-        """Build a function that counts the running attempts of a pool's VM.
+        """Return a function that counts the running attempts on a VM of the pool.
 
         :param pool: the pool.
         """
@@ -176,7 +190,7 @@
         return lambda vm: counts[vm]
 
     def add_vm(self, record: VmRecord) -> None:
-        """Put a VM into its pool.
+        """Add a VM to its pool.
 
         :param record: the VM.
         """
@@ -184,7 +198,7 @@
         self.members[record.pool].add(record.name)
 
 
-def _always(state: FleetState, event: t.Any) -> bool:
+def _accept_always(state: FleetState, event: t.Any) -> bool:
     return True
 
 
@@ -219,7 +233,7 @@
     return event.attempt in state.attempts
 
 
-_ACCEPT: dict[type, t.Callable[[FleetState, t.Any], bool]] = {
+_LEGALITY_CHECKS: dict[type, t.Callable[[FleetState, t.Any], bool]] = {
     ev.ManifestAccepted: _accept_manifest,
     ev.VmJoined: _accept_join,
     ev.VmReleased: _accept_release,
@@ -232,7 +246,7 @@
 
 @functools.singledispatch
 def _apply(event: t.Any, state: FleetState, entry: ev.Entry) -> None:
-    raise TypeError(f"no fold for {type(event).__name__}")
+    raise TypeError(f"no handler for event type {type(event).__name__}")
 
 
 @_apply.register
@@ -240,8 +254,8 @@
     state.version = event.version
     state.version_author = entry.author
     for name in event.removed:
-        state.drop_chunk(name)
-    state.load_chunks(event.changed)
+        state.remove_chunk(name)
+    state.update_chunks(event.changed)
 
 
 @_apply.register
@@ -271,7 +285,7 @@
     state.members[record.pool].discard(event.vm)
 
 
-def _move_vm(state: FleetState, event: t.Any, entry: ev.Entry) -> VmRecord:
+def _transition_vm(state: FleetState, event: t.Any, entry: ev.Entry) -> VmRecord:
     record = state.vms[event.vm]
     record.state = _TRANSITIONS[record.state, type(event)]
     record.since = entry.sequence
@@ -282,19 +296,19 @@
 
 @_apply.register
 def _(event: ev.VmDraining, state: FleetState, entry: ev.Entry) -> None:
-    _move_vm(state, event, entry).purpose = event.purpose
+    _transition_vm(state, event, entry).purpose = event.purpose
 
 
 @_apply.register(ev.VmFailed)
 @_apply.register(ev.VmQuarantined)
 @_apply.register(ev.VmRetired)
 def _(event: t.Any, state: FleetState, entry: ev.Entry) -> None:
-    _move_vm(state, event, entry)
+    _transition_vm(state, event, entry)
 
 
 @_apply.register
 def _(event: ev.VmRestarting, state: FleetState, entry: ev.Entry) -> None:
-    record = _move_vm(state, event, entry)
+    record = _transition_vm(state, event, entry)
     record.action = event.action
     record.action_id = event.action_id
     record.boots = event.boots
@@ -303,7 +317,7 @@
 
 @_apply.register
 def _(event: ev.VmReturned, state: FleetState, entry: ev.Entry) -> None:
-    record = _move_vm(state, event, entry)
+    record = _transition_vm(state, event, entry)
     record.boots = event.boots
     record.address = event.address
     record.repairs = 0
@@ -312,7 +326,7 @@
     record.action_id = ""
     if event.maintained:
         record.maintained_at = entry.at
-    # a restarted worker is judged anew
+    # failures before the return of a VM no longer count against its worker
     for history in state.tasks.values():
         if event.vm in history.failed_on:
             history.failed_on.remove(event.vm)
@@ -341,15 +355,15 @@
 
 @_apply.register
 def _(event: ev.TaskEnded, state: FleetState, entry: ev.Entry) -> None:
-    attempt = state.end_attempt(event.attempt)
+    attempt = state.remove_attempt(event.attempt)
     history = state.tasks[attempt.task]
-    _OUTCOMES.get(event.outcome, _skip)(history, attempt)
+    _OUTCOMES.get(event.outcome, _ignore_outcome)(history, attempt)
     if event.run_time_s:
         size = (event.cores, event.memory_gb, event.run_time_s)
-        history.sizes = [*history.sizes[1 - SIZES_KEPT :], size]
+        history.sizes = [*history.sizes[1 - MAX_SIZES :], size]
 
 
-def _skip(history: TaskHistory, attempt: Attempt) -> None:
+def _ignore_outcome(history: TaskHistory, attempt: Attempt) -> None:
     return None
 
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,7 +1,8 @@
-"""The journal and the state it folds to, beside a small model.
+"""Tests of the journal and of the replicated state, against a small model.
 
-A hypothesis state machine lets two controls act on states of any age, with
-answers lost, and compares what stands with a model that is only told of it.
+A Hypothesis state machine lets two control processes append entries based on
+states that may be outdated, with some answers lost. It compares the resulting
+state with a model that is updated only by successful appends.
 """
 
 import json
@@ -71,7 +72,7 @@
 
 
 class JournalMachine(stateful.RuleBasedStateMachine):
-    """Two writers append what is legal in the state that each knows."""
+    """Two writers append events that are legal in the last state each has read."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -80,8 +81,8 @@
         self.owner: dict[str, str] = {}
         self.tokens = 0
 
-    def run(self, run: t.Callable[..., t.Any], *args: t.Any) -> t.Any:
-        return anyio.run(run, *args)
+    def run(self, function: t.Callable[..., t.Any], *args: t.Any) -> t.Any:
+        return anyio.run(function, *args)
 
     @stateful.rule(writer=strategies.sampled_from(WRITERS))
     def catch_up(self, writer: str) -> None:
@@ -110,9 +111,9 @@
         assert applied == (row.value["token"] == entry.token)
         if applied:
             state.apply(entry)
-            self._tell_model(kind, vm, pool)
+            self._update_model(kind, vm, pool)
 
-    def _tell_model(self, kind: str, vm: str, pool: str) -> None:
+    def _update_model(self, kind: str, vm: str, pool: str) -> None:
         if kind == "join":
             assert vm not in self.owner
             self.owner[vm] = pool
@@ -120,15 +121,15 @@
             del self.owner[vm]
 
     @stateful.invariant()
-    def newest_state_is_the_model(self) -> None:
+    def newest_state_matches_model(self) -> None:
         state = self.run(load_state, self.platform)
         assert {vm: record.pool for vm, record in state.vms.items()} == self.owner
-        assert state.refused == 0
-        for pool, members in state.members.items():
-            assert all(state.vms[vm].pool == pool for vm in members)
+        assert state.rejected_events == 0
+        for pool, vm_names in state.members.items():
+            assert all(state.vms[vm].pool == pool for vm in vm_names)
 
     @stateful.invariant()
-    def snapshot_is_the_state(self) -> None:
+    def snapshot_restores_vms(self) -> None:
         state = self.run(load_state, self.platform)
         assert decode_snapshot(encode_snapshot(state)).vms == state.vms
 
@@ -139,16 +140,17 @@
 )
 
 
-def build_platform(rows: int = 0) -> MemoryPlatform:
+def build_platform(with_manifest: int = 0) -> MemoryPlatform:
+    """Build a platform and, unless `with_manifest` is 0, apply the manifest."""
     platform = MemoryPlatform()
     manifest = parse_manifest(json.dumps(MANIFEST))
-    if rows:
+    if with_manifest:
         anyio.run(apply_manifest, platform, manifest, "operator")
     return platform
 
 
 @pytest.mark.promise("config")
-def test_racing_operators_one_wins_the_other_is_told_who() -> None:
+def test_concurrent_manifest_change_conflict_names_the_winner() -> None:
     platform = build_platform(1)
     manifest = parse_manifest(json.dumps(MANIFEST))
     first = attrs.evolve(manifest, maintenance_days=10)
@@ -162,7 +164,7 @@
 
 
 @pytest.mark.promise("config")
-def test_lost_answer_to_an_append_is_settled() -> None:
+def test_append_with_lost_answer_is_retried_or_reported_unknown() -> None:
     platform = build_platform()
     platform.faults.lose_answers = 0.9
     manifest = parse_manifest(json.dumps(MANIFEST))
@@ -171,15 +173,15 @@
         changed = attrs.evolve(manifest, maintenance_days=days)
         try:
             versions.add(anyio.run(apply_manifest, platform, changed, "ana"))
-        except Exception as error:  # unknown is an honest outcome
+        except Exception as error:  # the outcome may stay unknown
             assert type(error).__name__ == "UnknownOutcomeError"
     platform.faults.lose_answers = 0.0
     state = anyio.run(load_state, platform)
     assert max(versions, default=0) <= state.version
-    assert state.refused == 0
+    assert state.rejected_events == 0
 
 
-def test_large_manifest_travels_by_the_object_store() -> None:
+def test_large_manifest_is_kept_in_the_object_store() -> None:
     platform = MemoryPlatform()
     text = (EXAMPLES / "pampa-lance" / "manifest.json").read_text()
     document = json.loads(text)
@@ -195,7 +197,7 @@
     assert len(state.manifest.teams) == len(document["teams"])
 
 
-def test_foreign_rows_are_reported_and_left_alone() -> None:
+def test_foreign_rows_are_reported_and_not_changed() -> None:
     platform = build_platform(1)
     platform.write([Put(format_key(2), {"foreign": True}, 0)])
     platform.write([Put("journal/zzz", [1, 2], 0)])
@@ -209,7 +211,7 @@
     assert platform.peek(format_key(2)).value == {"foreign": True}
 
 
-def test_damaged_snapshot_is_reported_and_the_journal_read() -> None:
+def test_corrupt_snapshot_falls_back_to_the_journal() -> None:
     platform = build_platform(1)
     platform.write([Put("snapshot", {"digest": "none", "sequence": 1}, 0)])
     with pytest.raises(Exception, match="no object"):
@@ -237,7 +239,7 @@
 
 
 @pytest.mark.promise("budget")
-def test_headroom_counts_whatever_is_not_serving() -> None:
+def test_every_vm_that_is_not_serving_uses_up_headroom() -> None:
     state = anyio.run(load_state, build_platform(1))
     joins = [ev.VmJoined(vm, "pool-a", "z", "r", "a:1", 1) for vm in VMS[:2]]
     state.apply(Entry(2, "c", 0.0, "w", "t", tuple(joins)))
