--- a/src/onyxgap/platform/__init__.py
+++ b/src/onyxgap/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Names, formats and calls of the users' platform; decides nothing."""
+"""Adapter to the platform: its data formats, HTTP calls and settings; no policy."""
--- a/src/onyxgap/platform/advice.py
+++ b/src/onyxgap/platform/advice.py
@@ -1,4 +1,7 @@
-"""The platform's policy service behind :class:`~onyxgap.jobs.advice.Adviser`."""
+"""HTTP client of the platform's policy service, which issues tickets for steps.
+
+Implements :class:`~onyxgap.jobs.advice.Adviser`.
+"""
 
 import typing as t
 
@@ -11,13 +14,15 @@
 from .http import HttpClient
 
 ADVICE_TIMEOUT_S = 3.0
-"""The service decides for a while, and answers one call of a node at a time."""
+"""The service needs time to decide, and answers one call per node at a time."""
 
 
 def decode_advice(answer: Answer) -> Advice | None:
-    """Read which workers may run a step.
+    """Decode the tickets for the workers that may run a step.
 
     :param answer: the service's answer, or why there is none.
+    :returns: the tickets and how long they are valid; ``None`` for any status but 200
+        and for a malformed body.
     """
     if answer.status != 200:
         return None
@@ -31,16 +36,21 @@
 
 @attrs.define
 class PlatformAdvice:
-    """The policy service over HTTP, one call at a time.
+    """Calls the policy service over HTTP, one call at a time.
 
-    :param http: client of its address.
+    :param http: HTTP client for the service's address.
     """
 
     http: HttpClient
     _lock: anyio.Lock = attrs.field(factory=anyio.Lock)
 
     async def advise(self, step: str, workers: t.Sequence[str]) -> Advice | None:
-        """Ask which of some workers may run a step; ``None`` without an answer."""
+        """Request tickets for a step.
+
+        :param step: ID of the step.
+        :param workers: IDs of the workers to ask about.
+        :returns: the tickets; ``None`` without a valid answer.
+        """
         body = {"step": step, "workers": list(workers)}
         async with self._lock:
             answer = await self.http.call(
--- a/src/onyxgap/platform/callers.py
+++ b/src/onyxgap/platform/callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface over ASGI: decodes requests and encodes answers."""
+"""ASGI applications: the job API for callers, and readiness probes and metrics."""
 
 import re
 import typing as t
@@ -31,14 +31,14 @@
 from ..jobs.tenants import KeyFault
 
 READY_PATH = "/readyz"
-_JOB_ID = re.compile(r"[0-9a-fA-F]{16}")
+_JOB_ID_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
 _KEY_HEADER = b"key"
 _CHALLENGE = ("WWW-Authenticate", "Key")
 _JSON = ("Content-Type", "application/json")
 _PROBLEM = ("Content-Type", "application/problem+json")
 _LOG = structlog.get_logger()
 
-# field of the platform, field of a step, and the type that it must have
+# Key in the submitted JSON: field of Step and the type that the value must have.
 _STEP_FIELDS: t.Mapping[str, tuple[str, type]] = {
     "count": ("count", int),
     "cpu": ("cpu", int),
@@ -103,13 +103,13 @@
 def decode_submission(
     body: bytes, job_id: str, route: Route, caller: Caller = ANYONE
 ) -> Submission:
-    """Read the body of a submission.
+    """Decode and check a submitted job.
 
-    :param body: the body.
-    :param job_id: id from the path.
+    :param body: body of the request, as JSON.
+    :param job_id: job ID from the request's path.
     :param route: route of the queue.
-    :param caller: who sent it.
-    :raises DocumentError: with what is wrong.
+    :param caller: the caller that submits the job.
+    :raises DocumentError: when the job is malformed or invalid.
     """
     try:
         raw = orjson.loads(body)
@@ -135,9 +135,11 @@
 
 @attrs.frozen(slots=True)
 class _Request:
+    """A request to a queue; ``suffix`` is the path after the route's prefix."""
+
     method: str
     route: Route
-    rest: str
+    suffix: str
     body: bytes
     caller: Caller
 
@@ -155,28 +157,28 @@
 
 @attrs.define
 class CallerApp:
-    """The ASGI application for callers.
+    """ASGI application of the job API.
 
-    :param desk: answers them.
-    :param closing: whether answers should end their connections.
+    :param desk: carries out the calls.
+    :param closing: whether each answer tells the caller to close its connection.
     """
 
     desk: Desk
     closing: bool = False
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request; a fault is logged, and the server answers 500."""
+        """Answer one request; an exception is logged, and the server sends 500."""
         if scope["type"] != "http":
             return
         try:
-            await self._answer(scope, receive, send)
+            await self._handle(scope, receive, send)
         except Exception:
             _LOG.exception("request failed", method=scope["method"], path=scope["path"])
             raise
 
-    async def _answer(self, scope: Scope, receive: Receive, send: Send) -> None:
+    async def _handle(self, scope: Scope, receive: Receive, send: Send) -> None:
         if self.closing:
-            send = _close_after(send)
+            send = _add_connection_close(send)
         host = ""
         keys = []
         for name, value in scope["headers"]:
@@ -192,44 +194,46 @@
             return
         except CallerGoneError:
             return
-        found = await self.desk.find_route(host, path)
-        if isinstance(found, Unavailable):
-            await _send_unavailable(send, found)
+        route = await self.desk.find_route(host, path)
+        if isinstance(route, Unavailable):
+            await _send_unavailable(send, route)
             return
-        if found is None:
+        if route is None:
             await _send_problem(send, 404, "no such queue")
             return
-        rest = path[len(found.prefix) :]
-        caller = await self.desk.identify(found, keys, rest)
+        suffix = path[len(route.prefix) :]
+        caller = await self.desk.identify(route, keys, suffix)
         if isinstance(caller, KeyFault):
             await _send_problem(send, 401, caller.value, [_CHALLENGE])
             return
         if isinstance(caller, Unavailable):
             await _send_unavailable(send, caller)
             return
-        await self._dispatch(_Request(scope["method"], found, rest, body, caller), send)
+        await self._dispatch(
+            _Request(scope["method"], route, suffix, body, caller), send
+        )
 
     async def _dispatch(self, request: _Request, send: Send) -> None:
-        if not request.rest and request.method == "GET":
-            await self._count(request, send)
+        if not request.suffix and request.method == "GET":
+            await self._get_waiting_count(request, send)
             return
-        if not _JOB_ID.fullmatch(request.rest):
+        if not _JOB_ID_PATTERN.fullmatch(request.suffix):
             await _send_problem(send, 404, "a job's id has 16 hexadecimal digits")
             return
-        answer = {
+        handler = {
             "POST": self._submit,
             "GET": self._get_state,
             "DELETE": self._cancel,
         }.get(request.method)
-        if answer is None:
+        if handler is None:
             await _send_problem(send, 405, "unknown method")
             return
-        await answer(request, send)
+        await handler(request, send)
 
     async def _submit(self, request: _Request, send: Send) -> None:
         try:
             submission = decode_submission(
-                request.body, request.rest, request.route, request.caller
+                request.body, request.suffix, request.route, request.caller
             )
         except DocumentError as error:
             await _send_problem(send, 400, str(error))
@@ -249,7 +253,7 @@
         await _send_problem(send, status, result.reason, headers)
 
     async def _get_state(self, request: _Request, send: Send) -> None:
-        state = await self.desk.get_state(request.route, request.rest, request.caller)
+        state = await self.desk.get_state(request.route, request.suffix, request.caller)
         if isinstance(state, Unavailable):
             await _send_unavailable(send, state)
         elif isinstance(state, Denied):
@@ -261,17 +265,19 @@
             await send_answer(send, 200, body, [_JSON])
 
     async def _cancel(self, request: _Request, send: Send) -> None:
-        known = await self.desk.cancel(request.route, request.rest, request.caller)
-        if isinstance(known, Unavailable):
-            await _send_unavailable(send, known)
-        elif isinstance(known, Denied):
-            await _send_problem(send, 403, known.value)
-        elif known:
+        cancelled = await self.desk.cancel(
+            request.route, request.suffix, request.caller
+        )
+        if isinstance(cancelled, Unavailable):
+            await _send_unavailable(send, cancelled)
+        elif isinstance(cancelled, Denied):
+            await _send_problem(send, 403, cancelled.value)
+        elif cancelled:
             await send_answer(send, 200, b"{}", [_JSON])
         else:
             await _send_problem(send, 410, "no such job")
 
-    async def _count(self, request: _Request, send: Send) -> None:
+    async def _get_waiting_count(self, request: _Request, send: Send) -> None:
         count = self.desk.count_waiting(request.route)
         if isinstance(count, Unavailable):
             await _send_unavailable(send, count)
@@ -279,7 +285,7 @@
         await send_answer(send, 200, orjson.dumps({"waiting": count}), [_JSON])
 
 
-def _close_after(send: Send) -> Send:
+def _add_connection_close(send: Send) -> Send:
     async def send_with_close(message: dict[str, t.Any]) -> None:
         if message["type"] == "http.response.start":
             headers = [*message["headers"], (b"connection", b"close")]
@@ -291,17 +297,17 @@
 
 @attrs.define
 class ReadyApp:
-    """The ASGI application for readiness probes and metrics.
+    """ASGI application for readiness probes and metrics.
 
-    :param desk: knows whether the node is ready.
-    :param render: renders the metrics.
+    :param desk: tells whether the node is ready.
+    :param render: renders the metrics as the body of an answer.
     """
 
     desk: Desk
     render: t.Callable[[], bytes]
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one probe."""
+        """Answer a readiness probe or a request for the metrics."""
         if scope["type"] != "http":
             return
         if scope["path"] == READY_PATH:
--- a/src/onyxgap/platform/cloud.py
+++ b/src/onyxgap/platform/cloud.py
@@ -1,4 +1,7 @@
-"""The platform's interface to VMs behind :class:`~onyxgap.pools.messages.Cloud`."""
+"""HTTP client of the platform's VM API: lists VMs, sends move and maintenance orders.
+
+Implements :class:`~onyxgap.pools.messages.Cloud`.
+"""
 
 import typing as t
 import urllib.parse
@@ -17,9 +20,9 @@
 from .http import HttpClient
 
 LIST_TIMEOUT_S = 1.0
-"""The list is asked for again each half second."""
+"""The list is requested again every half second."""
 ORDER_TIMEOUT_S = 1.0
-"""An order without an answer is sent again; repeating it does nothing more."""
+"""An order without an answer is sent again; orders are idempotent."""
 
 _BY_REASON: t.Mapping[str, VmReply] = {
     "fence": VmReply.STALE_HOLDER,
@@ -35,11 +38,11 @@
 
 
 def decode_vm(raw: t.Mapping[str, t.Any]) -> Vm:
-    """Read a VM of the list.
+    """Decode a VM.
 
-    :param raw: its entry.
+    :param raw: its entry in the platform's VM list.
     """
-    room = raw.get("capacity") or {}
+    capacity = raw.get("capacity") or {}
     labels = raw.get("labels") or ()
     return Vm(
         name=str(raw["machine"]),
@@ -47,16 +50,17 @@
         state=VmState(raw.get("state", "down")),
         zone=str(raw.get("zone", "")),
         rack=str(labels[-1]) if labels else "",
-        cpu=int(room.get("cpu", 0)),
-        memory_mb=int(room.get("mem_mb", 0)),
+        cpu=int(capacity.get("cpu", 0)),
+        memory_mb=int(capacity.get("mem_mb", 0)),
         worker_id=str(raw.get("id") or ""),
     )
 
 
 def decode_vm_reply(answer: Answer) -> VmReply:
-    """Read what became of an order.
+    """Decode the outcome of an order.
 
     :param answer: the platform's answer, or why there is none.
+    :returns: the outcome; ``UNKNOWN`` when the order may or may not have taken effect.
     """
     if answer.failure is CallFailure.NOT_SENT:
         return VmReply.RETRY
@@ -70,17 +74,17 @@
 
 @attrs.define
 class PlatformCloud:
-    """VMs over HTTP.
+    """Calls the VM API over HTTP.
 
-    :param http: client of the interface's address.
+    :param http: HTTP client for the API's address.
     """
 
     http: HttpClient
 
     async def list_vms(self) -> tuple[Vm, ...]:
-        """List all VMs.
+        """List all VMs, from all pages of the list.
 
-        :raises PlatformUnavailableError: when no answer came.
+        :raises PlatformUnavailableError: when a page could not be fetched or decoded.
         """
         vms: list[Vm] = []
         token = ""
@@ -95,13 +99,20 @@
             try:
                 vms += map(decode_vm, body.get("machines") or ())
             except MALFORMED_ERRORS as error:
-                raise PlatformUnavailableError(f"malformed list: {error!r}") from None
+                raise PlatformUnavailableError(
+                    f"malformed VM list: {error!r}"
+                ) from None
             token = str(body.get("next_token") or "")
             if not token:
                 return tuple(vms)
 
     async def send(self, order: VmOrder, holder: str, token: int) -> VmReply:
-        """Send an order; repeating one that was done does nothing more."""
+        """Send an order; orders are idempotent.
+
+        :param order: the order.
+        :param holder: holder of the fleet controller role, who sends it.
+        :param token: its fencing token.
+        """
         path, body = {
             VmActionKind.UPKEEP: (
                 "/machine-upkeep",
