--- a/src/onyxgap/platform/registry.py
+++ b/src/onyxgap/platform/registry.py
@@ -1,4 +1,8 @@
-"""Decodes what the platform and the operator write to the store."""
+"""Decodes worker registrations, configuration and maintenance waves from store rows.
+
+The platform and the operator write these rows; the status of a wave is encoded for
+the operator.
+"""
 
 import typing as t
 
@@ -40,7 +44,7 @@
 
 @attrs.frozen(slots=True)
 class _Capacity:
-    """Capacity of a worker, with the field names of the platform."""
+    """Capacity of a worker; the field names are those of the platform."""
 
     cpu: int = attrs.field(default=0, validator=attrs.validators.ge(0))
     mem_mb: int = attrs.field(default=0, validator=attrs.validators.ge(0))
@@ -49,7 +53,7 @@
 
 @attrs.frozen(slots=True)
 class _Registration:
-    """Row of a worker, with the field names of the platform."""
+    """Registration row of a worker; the field names are those of the platform."""
 
     service: str
     address: str = attrs.field(validator=_check_address)
@@ -63,7 +67,7 @@
 
 @attrs.frozen(slots=True)
 class _WaveRequest:
-    """Row of a maintenance wave, with the field names of the platform."""
+    """Row of a maintenance wave; the field names are those of the platform."""
 
     wave: int | None = None
     machines: tuple[str, ...] = ()
@@ -82,22 +86,23 @@
 
 
 def decode_start(value: t.Any) -> int:
-    """Read the moment of a worker's start, in Unix milliseconds.
+    """Check a worker's start time.
 
-    :param value: what the worker says; 0 where it says nothing.
-    :raises TypeError: when it is no whole number.
+    :param value: start time in Unix milliseconds; 0 where the worker sends none.
+    :returns: the same value.
+    :raises TypeError: when it is not an integer.
     """
     if isinstance(value, bool) or not isinstance(value, int):
-        raise TypeError(f"no start of a worker: {value!r}")
+        raise TypeError(f"worker start time is not an integer: {value!r}")
     return value
 
 
 def decode_worker(key: str, value: bytes) -> WorkerEntry:
-    """Read a worker's registration.
+    """Decode a worker's registration.
 
-    :param key: key of the row, the worker's id.
-    :param value: the row.
-    :raises DocumentError: when it has another form.
+    :param key: key of the row, which is the worker's ID.
+    :param value: value of the row.
+    :raises DocumentError: when the value is malformed.
     """
     registration = decode_document(value, _Registration)
     return WorkerEntry(
@@ -143,7 +148,7 @@
 
 
 def _decode_cap(raw: t.Mapping[str, t.Any]) -> Amount:
-    # 0 stands for no limit, as does a field that is left out
+    # 0 means no limit, as does a missing field
     return Amount(*(int(raw.get(name) or NO_LIMIT) for name in _CAP_FIELDS))
 
 
@@ -159,10 +164,10 @@
 
 
 def decode_configuration(value: bytes) -> Configuration:
-    """Read the operator's configuration.
+    """Decode the operator's configuration.
 
-    :param value: the row.
-    :raises DocumentError: when it has another form.
+    :param value: value of the row.
+    :raises DocumentError: when the value is malformed.
     """
     raw = _parse(value)
     try:
@@ -176,15 +181,18 @@
             tenants=tuple(map(_decode_tenant, raw.get("tenants") or ())),
         )
     except MALFORMED_ERRORS as error:
-        raise DocumentError([Fault("$", f"no configuration: {error!r}")]) from None
+        raise DocumentError(
+            [Fault("$", f"malformed configuration: {error!r}")]
+        ) from None
 
 
 def decode_wave(key: str, value: bytes) -> Wave:
-    """Read the operator's request for a wave of maintenance.
+    """Decode the operator's request for a maintenance wave.
 
-    :param key: key of the row.
-    :param value: the row.
-    :raises DocumentError: when it has another form.
+    :param key: key of the row; its number is used when the value has none.
+    :param value: value of the row.
+    :raises DocumentError: when the value is malformed, or neither it nor the key has
+        the number of the wave.
     """
     request = decode_document(value, _WaveRequest)
     try:
@@ -192,15 +200,19 @@
             int(key.removeprefix(WAVE_PREFIX)) if request.wave is None else request.wave
         )
     except ValueError as error:
-        raise DocumentError([Fault("$", f"no wave: {error}")]) from None
+        raise DocumentError(
+            [Fault("$", f"no number of the maintenance wave: {error}")]
+        ) from None
     return Wave(number, request.machines, request.duration_s, request.cap)
 
 
 def encode_wave_status(number: int, complete: bool) -> tuple[RowId, bytes]:
-    """Encode what the operator reads of a wave.
+    """Encode the status row of a maintenance wave, which the operator reads.
 
     :param number: number of the wave.
-    :param complete: whether each of its VMs has begun or left.
+    :param complete: whether each VM of the wave has begun its maintenance or is no
+        longer in the VM list.
+    :returns: name and value of the row.
     """
     state = "succeeded" if complete else "running"
     row = RowId(STATUS_TABLE, "", f"{WAVE_PREFIX}{number}")
--- a/src/onyxgap/platform/settings.py
+++ b/src/onyxgap/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file into the product's own settings."""
+"""Reads and checks the platform's settings file of a node."""
 
 import pathlib
 import typing as t
@@ -11,12 +11,12 @@
 from ..settings import parse_address
 
 PATH_VARIABLE = "ONYXGAP_CONFIG"
-"""Environment variable that holds the path of the file."""
-SUPPORTED_CONTROL = "invoke"
+"""Environment variable with the path of the settings file."""
+SUPPORTED_CONTROL_MODE = "invoke"
 TENANTS_CONTRACT = "tenants"
-"""Part of the rules under which calls need a tenant's key."""
+"""Value of ``contracts`` under which calls need a tenant's key."""
 CONTENTION_CONTRACT = "pressure"
-"""Part of the rules under which callers compete for room."""
+"""Value of ``contracts`` under which callers compete for capacity."""
 
 
 def _parse_lines(text: str) -> dict[str, str]:
@@ -28,8 +28,8 @@
     return values
 
 
-class _Reader:
-    """Reads typed values and collects what is wrong."""
+class _SettingsReader:
+    """Parses values by key and collects the faults of the file."""
 
     def __init__(self, values: t.Mapping[str, str]) -> None:
         self.values = values
@@ -46,7 +46,7 @@
         try:
             return parse(text)
         except ValueError:
-            self.faults.append(Fault(key, f"cannot be read: {text[:40]!r}"))
+            self.faults.append(Fault(key, f"invalid value: {text[:40]!r}"))
             return default
 
     def read_ms(self, key: str, default_s: float) -> float:
@@ -63,11 +63,11 @@
     return int(first), int(last)
 
 
-def _split(text: str) -> tuple[str, ...]:
+def _split_list(text: str) -> tuple[str, ...]:
     return tuple(text.split(","))
 
 
-def _read_limits(reader: _Reader) -> TimeLimits:
+def _read_limits(reader: _SettingsReader) -> TimeLimits:
     return TimeLimits(
         max_lease_s=reader.read_ms("bounds.max_hold_ms", 6.0),
         stop_s=reader.read_ms("bounds.stop_ms", 0.4),
@@ -85,16 +85,16 @@
 
 
 def read_settings(text: str) -> NodeSettings:
-    """Read the text of a settings file.
+    """Parse and check the text of a settings file.
 
-    :param text: lines of the form ``a.b=value``.
-    :raises DocumentError: with every fault.
+    :param text: lines of the form ``a.b=value``; unknown keys are ignored.
+    :raises DocumentError: with all faults of the file.
     """
-    reader = _Reader(_parse_lines(text))
-    control = reader.read("control_mode", str, SUPPORTED_CONTROL)
-    if control != SUPPORTED_CONTROL:
+    reader = _SettingsReader(_parse_lines(text))
+    control = reader.read("control_mode", str, SUPPORTED_CONTROL_MODE)
+    if control != SUPPORTED_CONTROL_MODE:
         reader.faults.append(Fault("control_mode", f"{control!r} is not supported"))
-    contracts = reader.read("contracts", _split, ())
+    contracts = reader.read("contracts", _split_list, ())
     ports = reader.read("port_range", _parse_ports, (0, 0))
     settings = NodeSettings(
         node=reader.read("node", str),
@@ -120,8 +120,8 @@
 def load_settings(path: str | pathlib.Path) -> NodeSettings:
     """Read and check a settings file.
 
-    :param path: the file.
-    :raises DocumentError: with every fault.
+    :param path: path of the file.
+    :raises DocumentError: with all faults, or when the file cannot be read.
     """
     try:
         text = pathlib.Path(path).read_text()
