--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""What the adapter reads and writes, in the platform's words, and bad input."""
+"""Decoding and encoding of the platform's formats, and rejection of malformed input."""
 
 import base64
 import typing as t
@@ -89,7 +89,7 @@
     assert path in [fault.path for fault in caught.value.faults]
 
 
-def test_batch_keeps_conditions_values_and_removals() -> None:
+def test_batch_encodes_conditions_values_and_removals() -> None:
     row = RowId("my", "p7", "owner")
     encoded = encode_batch(Batch({row: 0}, {row: b"node-1"}, (row,)))
     name = {"table": "my", "part": "p7", "key": "owner"}
@@ -119,7 +119,7 @@
     assert isinstance(decode_outcome(given_answer), kind)
 
 
-def test_page_errors_are_typed() -> None:
+def test_failed_reads_raise_typed_errors() -> None:
     with pytest.raises(HistoryLostError):
         _decode_page(answer(410))
     with pytest.raises(PlatformUnavailableError):
@@ -145,11 +145,11 @@
         (Answer(0, b"", CallFailure.NO_ANSWER, "x"), ReplyKind.NO_ANSWER),
     ],
 )
-def test_worker_replies_are_told_apart(given_answer: Answer, kind: ReplyKind) -> None:
+def test_worker_replies_are_decoded(given_answer: Answer, kind: ReplyKind) -> None:
     assert decode_reply(given_answer).kind is kind
 
 
-def test_report_lists_runs_and_ends() -> None:
+def test_hold_report_lists_running_and_ended_runs() -> None:
     task = f"{JOB_ID}.0.1.17"
     body = {
         "clock_ms": 482113,
@@ -178,7 +178,7 @@
     assert reply.kind is ReplyKind.NO_ANSWER
 
 
-def test_registered_worker() -> None:
+def test_worker_registration_is_decoded() -> None:
     value = orjson.dumps(
         {
             "service": "huvo11a",
@@ -195,7 +195,7 @@
     assert (entry.cpu, entry.memory_mb, entry.accelerators) == (16000, 32768, 0)
 
 
-def test_configuration_and_wave() -> None:
+def test_configuration_and_wave_are_decoded() -> None:
     value = orjson.dumps(
         {
             "version": 7,
@@ -227,14 +227,14 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b"{}", b'{"version":"x"}'])
-def test_foreign_rows_are_refused(value: bytes) -> None:
+def test_malformed_rows_are_rejected(value: bytes) -> None:
     with pytest.raises(DocumentError):
         registry.decode_configuration(value)
     with pytest.raises(DocumentError):
         registry.decode_worker("i-1", value)
 
 
-def test_vm_and_replies() -> None:
+def test_vm_and_order_replies_are_decoded() -> None:
     vm = decode_vm({"machine": "m-1", "pool": "s", "state": "moving", "id": None})
     assert (vm.state, vm.worker_id) == (VmState.MOVING, "")
     assert decode_vm_reply(answer(200)) is VmReply.DONE
@@ -279,7 +279,7 @@
         b'{"spec":"s","steps":[{"count":1,"after":7}]}',
     ],
 )
-def test_bad_submissions_are_refused(body: bytes) -> None:
+def test_invalid_submissions_are_rejected(body: bytes) -> None:
     with pytest.raises(DocumentError):
         decode_submission(body, JOB_ID, ROUTE)
 
@@ -320,24 +320,24 @@
     assert isinstance(reply, HoldReport) or reply.kind is ReplyKind.NO_ANSWER
 
 
-class FaultyDesk:
-    """A desk whose every answer fails."""
+class FailingJobApi:
+    """A job API whose route look-up raises an error."""
 
     def get_max_body_bytes(self) -> int:
         return 100
 
     async def find_route(self, host: str, path: str) -> t.NoReturn:
-        raise RuntimeError("a fault of the desk")
+        raise RuntimeError("fault of the job API")
 
 
-def test_fault_behind_a_request_is_logged_with_its_path() -> None:
+def test_exception_during_a_request_is_logged_with_its_path() -> None:
     async def receive() -> dict[str, t.Any]:
         return {"type": "http.request", "body": b""}
 
     async def send(message: dict[str, t.Any]) -> None:
         raise AssertionError(message)
 
-    app = CallerApp(t.cast(t.Any, FaultyDesk()))
+    app = CallerApp(t.cast(t.Any, FailingJobApi()))
     scope = {"type": "http", "method": "GET", "path": "/q/1", "headers": []}
     with structlog.testing.capture_logs() as lines, pytest.raises(RuntimeError):
         anyio.run(app, scope, receive, send)
