--- a/src/onyxgap/adapters/__init__.py
+++ b/src/onyxgap/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Input and output: HTTP, peer connections and the platform."""
+"""Adapters for network I/O: HTTP, connections between peers, and the platform."""
--- a/src/onyxgap/adapters/asgi.py
+++ b/src/onyxgap/adapters/asgi.py
@@ -1,4 +1,4 @@
-"""The little of ASGI that the HTTP programs share."""
+"""ASGI helpers: types, reading of request bodies and sending of answers."""
 
 import json
 import typing as t
@@ -10,20 +10,20 @@
 
 
 class BodyTooLargeError(Exception):
-    """A request's body is over the limit."""
+    """A request body exceeds the size limit."""
 
 
 class CallerGoneError(Exception):
-    """The caller left before its body was complete."""
+    """The caller disconnected before its request body was complete."""
 
 
 async def read_body(receive: Receive, limit: int) -> bytes:
-    """Read a request's whole body.
+    """Read a complete request body.
 
-    :param receive: ASGI receive.
-    :param limit: most bytes.
-    :raises BodyTooLargeError: when it is longer.
-    :raises CallerGoneError: when the caller left.
+    :param receive: ASGI receive callable.
+    :param limit: maximum size in bytes.
+    :raises BodyTooLargeError: when the body is larger than ``limit``.
+    :raises CallerGoneError: when the caller disconnects.
     """
     parts = []
     size = 0
@@ -44,12 +44,12 @@
 async def send_answer(
     send: Send, status: int, body: bytes, headers: HeaderList = ()
 ) -> None:
-    """Send a whole answer with its length.
+    """Send a complete answer with its ``Content-Length``.
 
-    :param send: ASGI send.
+    :param send: ASGI send callable.
     :param status: HTTP status.
-    :param body: the body.
-    :param headers: further headers.
+    :param body: the complete body.
+    :param headers: additional headers.
     """
     raw = [(name.lower().encode(), value.encode("latin-1")) for name, value in headers]
     raw.append((b"content-length", str(len(body)).encode()))
@@ -60,12 +60,12 @@
 async def send_json(
     send: Send, status: int, value: t.Any, headers: HeaderList = ()
 ) -> None:
-    """Send a JSON answer.
+    """Send a JSON answer, as ``application/json`` unless a ``Content-Type`` is given.
 
-    :param send: ASGI send.
+    :param send: ASGI send callable.
     :param status: HTTP status.
-    :param value: JSON value.
-    :param headers: further headers.
+    :param value: value to encode as JSON.
+    :param headers: additional headers.
     """
     kinds = [name.lower() for name, _ in headers]
     if "content-type" not in kinds:
--- a/src/onyxgap/adapters/http_front.py
+++ b/src/onyxgap/adapters/http_front.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP front: callers' requests, health, metrics and status."""
+"""ASGI application of an entry process: requests, health, metrics and status."""
 
 import http
 import json
@@ -28,49 +28,55 @@
 from .asgi import send_answer
 from .asgi import send_json
 
-STRICT_HEADER = "onyxgap-at-most-once"
+AT_MOST_ONCE_HEADER = "onyxgap-at-most-once"
 PATH_PARTS = 3
-PATH_VERSION = "v1"
-PROBLEM_TYPE = "application/problem+json"
+API_VERSION = "v1"
+PROBLEM_MEDIA_TYPE = "application/problem+json"
 _LOG = structlog.get_logger()
 
 
 class Handler(t.Protocol):
-    """Answers callers' requests."""
+    """Answers requests of callers."""
 
     async def answer(self, request: CallerRequest) -> Answer:
-        """Take one request to its final answer."""
+        """Run one request and return its final answer."""
 
 
-class Reports(t.Protocol):
-    """What the front tells the balancer and operators."""
+class Monitoring(t.Protocol):
+    """Readiness, metrics and status of the process."""
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send requests here."""
+        """Tell whether the load balancer may route requests here."""
 
     def render_metrics(self) -> bytes:
-        """Render metrics in the usual text format."""
+        """Render metrics in the Prometheus text format."""
 
     def describe(self) -> dict[str, t.Any]:
-        """Describe the process as JSON."""
+        """Return the status of the process as a JSON object."""
 
     def count_answer(self, answer: Answer, service: str, job: str, took: float) -> None:
-        """Count one finished request."""
+        """Record an answered request in the metrics.
+
+        :param answer: its final answer.
+        :param service: its service, or empty if the request could not be read.
+        :param job: its job, or empty if the request could not be read.
+        :param took: seconds from its arrival to its answer.
+        """
 
 
 @attrs.define
 class HttpFront:
     """ASGI application of an entry process.
 
-    :param handler: the request pipe.
-    :param reports: health and metrics.
-    :param make_id: makes unique request ids.
-    :param max_body_bytes: largest body that is taken.
+    :param handler: answers the requests.
+    :param reports: readiness, metrics and status of the process.
+    :param make_request_id: returns a new unique request ID.
+    :param max_body_bytes: maximum size of a request body, in bytes.
     """
 
     handler: Handler
-    reports: Reports
-    make_id: t.Callable[[], str]
+    reports: Monitoring
+    make_request_id: t.Callable[[], str]
     max_body_bytes: int = defaults.MAX_BODY_BYTES
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -85,7 +91,7 @@
 
     async def _serve_request(self, scope: Scope, receive: Receive, send: Send) -> None:
         started = anyio.current_time()
-        request_id = self.make_id()
+        request_id = self.make_request_id()
         try:
             request = await self._read_request(scope, receive, request_id)
         except CallerGoneError:
@@ -94,7 +100,7 @@
             answer, service, job = request, "", ""
         else:
             service, job = request.service, request.job
-            answered = await self._answer_or_leave(request, receive)
+            answered = await self._answer_unless_disconnected(request, receive)
             if answered is None:
                 _LOG.info("caller-gone", request=request_id, service=service, job=job)
                 return
@@ -102,13 +108,13 @@
         took = anyio.current_time() - started
         self.reports.count_answer(answer, service, job, took)
         _log_answer(request_id, answer, service, job, took)
-        await _send_final(send, request_id, answer)
+        await _send_final_answer(send, request_id, answer)
 
     async def _read_request(
         self, scope: Scope, receive: Receive, request_id: str
     ) -> CallerRequest | Answer:
         parts = scope["path"].strip("/").split("/")
-        if len(parts) != PATH_PARTS or parts[0] != PATH_VERSION:
+        if len(parts) != PATH_PARTS or parts[0] != API_VERSION:
             return Answer(Verdict.NOT_RUN, 404, reason=Reason.UNKNOWN_SERVICE)
         if scope["method"] != "POST":
             return Answer(Verdict.NOT_RUN, 405, reason=Reason.BAD_REQUEST)
@@ -131,21 +137,21 @@
             key=_unquote_key(headers.get(KEY_HEADER.lower())),
             content_type=headers.get("content-type", "application/octet-stream"),
             trace=headers.get(TRACE_HEADER.lower(), ""),
-            strict=headers.get(STRICT_HEADER, "").lower() == "yes",
+            strict=headers.get(AT_MOST_ONCE_HEADER, "").lower() == "yes",
         )
 
-    async def _answer_or_leave(
+    async def _answer_unless_disconnected(
         self, request: CallerRequest, receive: Receive
     ) -> Answer | None:
         answers: list[Answer] = []
         async with anyio.create_task_group() as group:
 
-            async def watch() -> None:
+            async def watch_for_disconnect() -> None:
                 while (await receive())["type"] != "http.disconnect":
                     pass
                 group.cancel_scope.cancel()
 
-            group.start_soon(watch)
+            group.start_soon(watch_for_disconnect)
             answers.append(await self.handler.answer(request))
             group.cancel_scope.cancel()
         return answers[0] if answers else None
@@ -174,7 +180,8 @@
 
 
 def _unquote_key(key: str | None) -> str | None:
-    # the draft writes keys as quoted strings; many callers leave the quotes out
+    # the Idempotency-Key draft defines the value as a quoted string; many
+    # callers send it without quotes
     if key is not None and len(key) > 1 and key[0] == key[-1] == '"':
         return key[1:-1]
     return key
@@ -196,7 +203,7 @@
     )
 
 
-async def _send_final(send: Send, request_id: str, answer: Answer) -> None:
+async def _send_final_answer(send: Send, request_id: str, answer: Answer) -> None:
     headers = [
         (REQUEST_ID_HEADER, request_id),
         (VERDICT_HEADER, answer.verdict.value),
@@ -208,7 +215,7 @@
         await send_answer(send, answer.status, answer.body, [*headers, *answer.headers])
         return
     headers.append((REASON_HEADER, answer.reason.value))
-    headers.append(("Content-Type", PROBLEM_TYPE))
+    headers.append(("Content-Type", PROBLEM_MEDIA_TYPE))
     problem = {
         "type": f"urn:onyxgap:{answer.reason.value}",
         "title": http.HTTPStatus(answer.status).phrase,
--- a/src/onyxgap/adapters/http_server.py
+++ b/src/onyxgap/adapters/http_server.py
@@ -1,4 +1,4 @@
-"""Runs an ASGI application under uvicorn inside a task group."""
+"""Runs an ASGI application with uvicorn inside an anyio task group."""
 
 import contextlib
 import socket
@@ -16,36 +16,41 @@
 KEEP_ALIVE_S = 75
 
 
-class _Server(uvicorn.Server):
+class _UvicornServer(uvicorn.Server):
     @contextlib.contextmanager
     def capture_signals(self) -> t.Iterator[None]:
-        # the daemon handles signals itself
+        # the process that runs the server handles signals
         yield
 
 
 @attrs.define
 class HttpServer:
-    """An HTTP server for one ASGI application.
+    """HTTP server for one ASGI application.
 
     :param app: the application.
-    :param listen: address to listen on; port 0 lets the system choose.
-    :param grace_s: seconds that requests may take after :meth:`stop`.
-    :param ended: set once all answers are sent after :meth:`stop`.
+    :param listen: address to listen on; port 0 selects a free port.
+    :param grace_s: seconds that open requests may take after :meth:`stop`; applied
+        as whole seconds, at least one.
+    :param ended: set when the server has shut down after :meth:`stop`.
     """
 
     app: t.Any
     listen: Address
     grace_s: float = 30.0
     ended: anyio.Event = attrs.field(factory=anyio.Event)
-    _server: _Server | None = None
+    _server: _UvicornServer | None = None
 
     async def run(
         self,
         *,
         task_status: anyio.abc.TaskStatus[Address] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until stopped; reports the bound address when started."""
-        # asyncio switches Nagle's algorithm off only where the protocol is named
+        """Serve until stopped.
+
+        Reports the bound address through ``task_status`` once it accepts connections.
+        """
+        # asyncio sets TCP_NODELAY, which disables Nagle's algorithm, only on sockets
+        # that are created with IPPROTO_TCP
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind((self.listen.host, self.listen.port))
@@ -62,7 +67,7 @@
             timeout_keep_alive=KEEP_ALIVE_S,
             timeout_graceful_shutdown=max(1, int(self.grace_s)),
         )
-        self._server = _Server(config)
+        self._server = _UvicornServer(config)
         async with anyio.create_task_group() as group:
             group.start_soon(self._serve, listener)
             while not self._server.started:
@@ -76,6 +81,9 @@
         self.ended.set()
 
     def stop(self) -> None:
-        """Stop accepting; :meth:`run` returns once all answers are sent."""
+        """Stop accepting connections.
+
+        :meth:`run` returns once open requests are answered or the grace period ends.
+        """
         if self._server is not None:
             self._server.should_exit = True
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""The HTTP front over a real socket: bad input, problem bodies and health."""
+"""Tests the HTTP front end over TCP: bad requests, problem bodies and health."""
 
 import json
 import typing as t
@@ -18,8 +18,8 @@
 
 
 @attrs.define
-class Handler:
-    """Answers with what the test wants, and keeps the requests."""
+class FakeHandler:
+    """Records requests and returns a given answer after a delay."""
 
     reply: Answer = Answer(Verdict.RAN, 200, (("content-type", "text/x"),), b"whole")
     requests: list[CallerRequest] = attrs.field(factory=list)
@@ -45,10 +45,10 @@
         return {"member": "entry-1"}
 
     def count_answer(self, answer: Answer, service: str, job: str, took: float) -> None:
-        """Count nothing."""
+        """Ignore the answer."""
 
 
-def build_bytes(
+def build_request_bytes(
     method: str, path: str, body: bytes = b"", headers: t.Sequence[t.Any] = ()
 ) -> bytes:
     lines = [f"{method} {path} HTTP/1.1", "Host: x", f"Content-Length: {len(body)}"]
@@ -56,8 +56,8 @@
     return "\r\n".join([*lines, "", ""]).encode() + body
 
 
-def call_front(handler: Handler, data: bytes) -> tuple[int, dict[str, str], bytes]:
-    """Send bytes to a front and read one answer."""
+def call_front(handler: FakeHandler, data: bytes) -> tuple[int, dict[str, str], bytes]:
+    """Send bytes to an HTTP front end and read one answer."""
 
     async def run() -> t.Any:
         front = HttpFront(handler, handler, lambda: "id-1", max_body_bytes=1000)
@@ -95,13 +95,13 @@
 
 
 def test_answer_carries_verdict_and_id() -> None:
-    handler = Handler()
+    handler = FakeHandler()
     headers = [
         ("Idempotency-Key", '"k-1"'),
         ("Traceparent", "00-1"),
         ("Onyxgap-At-Most-Once", "yes"),
     ]
-    data = build_bytes("POST", "/v1/ring/sell", b"lot", headers)
+    data = build_request_bytes("POST", "/v1/ring/sell", b"lot", headers)
     status, answer, body = call_front(handler, data)
     assert (status, body) == (200, b"whole")
     assert answer["onyxgap-verdict"] == "ran"
@@ -111,10 +111,10 @@
     assert (request.key, request.trace, request.strict) == ("k-1", "00-1", True)
 
 
-def test_refusal_is_a_problem_with_retry_after() -> None:
+def test_refusal_has_problem_body_and_retry_after() -> None:
     refusal = Answer(Verdict.NOT_RUN, 503, reason=Reason.OVERLOADED, retry_after_s=2.2)
     status, answer, body = call_front(
-        Handler(reply=refusal), build_bytes("POST", "/v1/ring/sell")
+        FakeHandler(reply=refusal), build_request_bytes("POST", "/v1/ring/sell")
     )
     assert (status, answer["retry-after"]) == (503, "3")
     assert answer["content-type"] == "application/problem+json"
@@ -123,13 +123,13 @@
     assert problem["type"] == "urn:onyxgap:overloaded"
 
 
-BAD = {
-    "unknown path": (build_bytes("POST", "/v2/ring/sell"), 404),
-    "short path": (build_bytes("POST", "/v1/ring"), 404),
-    "wrong method": (build_bytes("GET", "/v1/ring/sell"), 405),
-    "large body": (build_bytes("POST", "/v1/ring/sell", b"x" * 1001), 413),
+BAD_REQUESTS = {
+    "unknown path": (build_request_bytes("POST", "/v2/ring/sell"), 404),
+    "short path": (build_request_bytes("POST", "/v1/ring"), 404),
+    "wrong method": (build_request_bytes("GET", "/v1/ring/sell"), 405),
+    "large body": (build_request_bytes("POST", "/v1/ring/sell", b"x" * 1001), 413),
     "large headers": (
-        build_bytes("POST", "/v1/r/s", headers=[("X", "y" * 17_000)]),
+        build_request_bytes("POST", "/v1/r/s", headers=[("X", "y" * 17_000)]),
         431,
     ),
     "not HTTP": (b"\x16\x03\x01 nonsense\r\n\r\n", 400),
@@ -141,34 +141,39 @@
 
 
 @pytest.mark.promise("not-run")
-@pytest.mark.parametrize("data, wanted", BAD.values(), ids=BAD.keys())
-def test_bad_request_reaches_nobody(data: bytes, wanted: int) -> None:
-    handler = Handler()
+@pytest.mark.parametrize(
+    "data, expected_status", BAD_REQUESTS.values(), ids=BAD_REQUESTS.keys()
+)
+def test_bad_request_is_not_handled(data: bytes, expected_status: int) -> None:
+    handler = FakeHandler()
     status, answer, _ = call_front(handler, data)
-    assert status == wanted
+    assert status == expected_status
     assert handler.requests == []
-    if wanted != 400:
+    if expected_status != 400:
         assert answer["onyxgap-verdict"] == "not-run"
 
 
 def test_health_metrics_and_status() -> None:
-    handler = Handler()
-    assert call_front(handler, build_bytes("GET", "/healthz"))[0] == 200
-    assert call_front(handler, build_bytes("GET", "/readyz"))[0] == 503
-    assert b"onyxgap_answers" in call_front(handler, build_bytes("GET", "/metrics"))[2]
-    body = call_front(handler, build_bytes("GET", "/status"))[2]
+    handler = FakeHandler()
+    assert call_front(handler, build_request_bytes("GET", "/healthz"))[0] == 200
+    assert call_front(handler, build_request_bytes("GET", "/readyz"))[0] == 503
+    assert (
+        b"onyxgap_answers"
+        in call_front(handler, build_request_bytes("GET", "/metrics"))[2]
+    )
+    body = call_front(handler, build_request_bytes("GET", "/status"))[2]
     assert json.loads(body)["member"] == "entry-1"
 
 
-def test_caller_that_leaves_cancels_its_request() -> None:
+def test_disconnect_of_caller_cancels_its_request() -> None:
     async def run() -> int:
-        handler = Handler(wait_s=3600)
+        handler = FakeHandler(wait_s=3600)
         front = HttpFront(handler, handler, lambda: "id-1")
         server = HttpServer(front, Address())
         async with anyio.create_task_group() as group:
             address = await group.start(server.run)
             stream = await anyio.connect_tcp(address.host, address.port)
-            await stream.send(build_bytes("POST", "/v1/ring/sell"))
+            await stream.send(build_request_bytes("POST", "/v1/ring/sell"))
             while not handler.requests:
                 await anyio.sleep(0.01)
             await stream.aclose()
