--- a/src/onyxgap/adapters/platform_client.py
+++ b/src/onyxgap/adapters/platform_client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's service over HTTP, with a circuit per store."""
+"""HTTP client of the platform: its table, object store, VMs and tasks."""
 
 import hashlib
 import json
@@ -24,11 +24,16 @@
 from ..sentinels import Missing
 from ..settings import Address
 
-CONFLICT = 409
+CONFLICT_STATUS = 409
 NOT_FOUND_STATUS = 404
-SUCCESS = 200
-NOT_MODIFIED = 304
-_EXPECTED = (SUCCESS, NOT_MODIFIED, CONFLICT, NOT_FOUND_STATUS)
+SUCCESS_STATUS = 200
+NOT_MODIFIED_STATUS = 304
+_EXPECTED_STATUSES = (
+    SUCCESS_STATUS,
+    NOT_MODIFIED_STATUS,
+    CONFLICT_STATUS,
+    NOT_FOUND_STATUS,
+)
 CONVERTER = Converter()
 
 
@@ -36,15 +41,22 @@
     try:
         return json.loads(content)
     except ValueError:
-        raise PlatformUnavailableError("answer is not JSON") from None
+        raise PlatformUnavailableError(
+            "answer of the platform is not valid JSON"
+        ) from None
 
 
 @attrs.define
 class PlatformClient:
-    """Speaks to the platform's service.
-
-    :param address: where it listens.
-    :param timeout_s: longest wait for one answer, in seconds.
+    """Calls the platform over HTTP.
+
+    :param address: address of the platform.
+    :param timeout_s: time-out of one call, in seconds.
+    :param writes: number of calls that write to the table or the object store.
+    :param reads: number of all other calls, including VM actions and task starts
+        and stops.
+    :param bytes_moved: bytes of URLs and bodies sent and received; headers are not
+        counted.
     """
 
     address: Address
@@ -52,13 +64,13 @@
     reads: int = 0
     writes: int = 0
     bytes_moved: int = 0
-    _vms_tag: str = ""
+    _vms_etag: str = ""
     _vms: tuple[ListedVm, ...] = ()
     _pool: httpcore.AsyncConnectionPool = attrs.field(
         factory=lambda: httpcore.AsyncConnectionPool(max_connections=32)
     )
 
-    async def _call(
+    async def _request(
         self, method: str, path: str, body: bytes = b""
     ) -> tuple[int, bytes]:
         response = await self._send(method, path, body)
@@ -80,35 +92,41 @@
         except (httpcore.NetworkError, httpcore.ProtocolError) as error:
             raise PlatformUnavailableError(repr(error)) from None
         except (httpcore.TimeoutException, TimeoutError):
-            raise PlatformUnavailableError("timed out") from None
+            raise PlatformUnavailableError(
+                "platform did not answer within the time-out"
+            ) from None
         self.bytes_moved += len(body) + len(response.content) + len(url)
-        if response.status not in _EXPECTED:
-            raise PlatformUnavailableError(f"status {response.status}")
+        if response.status not in _EXPECTED_STATUSES:
+            raise PlatformUnavailableError(
+                f"platform answered with HTTP status {response.status}"
+            )
         return response
 
-    async def _ask(self, method: str, path: str, value: t.Any = None) -> t.Any:
+    async def _request_json(self, method: str, path: str, value: t.Any = None) -> t.Any:
         self.reads += 1
         body = b"" if value is None else json.dumps(value).encode()
-        status, content = await self._call(method, path, body)
+        status, content = await self._request(method, path, body)
         return None if status == NOT_FOUND_STATUS else _decode_json(content)
 
     async def get(self, key: str) -> Row | Missing:
         """Read one row."""
-        value = await self._ask("POST", "/table/get", {"key": key})
+        value = await self._request_json("POST", "/table/get", {"key": key})
         return NOT_FOUND if value is None else Row(**value)
 
     async def scan(self, prefix: str, after: str, limit: int) -> list[Row]:
         """Read rows in key order."""
         query = {"prefix": prefix, "after": after, "limit": limit}
-        return [Row(**row) for row in await self._ask("POST", "/table/scan", query)]
+        return [
+            Row(**row) for row in await self._request_json("POST", "/table/scan", query)
+        ]
 
     async def transact(self, puts: t.Sequence[Put]) -> WriteResult:
-        """Apply all writes or none of them."""
+        """Apply all writes or none of them; a lost answer gives ``UNKNOWN``."""
         self.writes += 1
         body = json.dumps([attrs.asdict(put) for put in puts]).encode()
         try:
-            status, content = await self._call("POST", "/table/transact", body)
-            if status == CONFLICT:
+            status, content = await self._request("POST", "/table/transact", body)
+            if status == CONFLICT_STATUS:
                 conflicts = tuple(json.loads(content))
                 return WriteResult(WriteOutcome.NOT_APPLIED, conflicts)
         except (PlatformUnavailableError, ValueError):
@@ -119,47 +137,56 @@
         """Store an object and return its hash."""
         digest = hashlib.sha256(body).hexdigest()
         self.writes += 1
-        await self._call("PUT", f"/objects/{digest}", body)
+        await self._request("PUT", f"/objects/{digest}", body)
         return digest
 
     async def get_object(self, digest: str) -> bytes:
-        """Read an object and check it against its hash."""
+        """Read an object and verify its hash.
+
+        :raises PlatformUnavailableError: when no answer came or the object is
+            missing or corrupt.
+        """
         self.reads += 1
-        _, body = await self._call("GET", f"/objects/{digest}")
+        _, body = await self._request("GET", f"/objects/{digest}")
         if hashlib.sha256(body).hexdigest() != digest:
-            raise PlatformUnavailableError(f"object {digest} is damaged or gone")
+            raise PlatformUnavailableError(
+                f"object {digest} is missing or does not match its hash"
+            )
         return body
 
     async def list_vms(self) -> VmList:
-        """Read the lagging list of VMs; an unchanged one is not sent again."""
+        """Read the VM list, which lags.
+
+        Sends the ETag of the previous list, so that an unchanged one is not sent again.
+        """
         self.reads += 1
-        headers = [("If-None-Match", self._vms_tag)] if self._vms_tag else []
+        headers = [("If-None-Match", self._vms_etag)] if self._vms_etag else []
         response = await self._send("GET", "/vms", headers=headers)
-        found = {name.lower(): value.decode() for name, value in response.headers}
-        if response.status != NOT_MODIFIED:
+        received = {name.lower(): value.decode() for name, value in response.headers}
+        if response.status != NOT_MODIFIED_STATUS:
             vms = CONVERTER.structure(
                 _decode_json(response.content), tuple[ListedVm, ...]
             )
-            self._vms_tag, self._vms = found.get(b"etag", ""), vms
-        return VmList(float(found.get(b"age", "0")), self._vms)
+            self._vms_etag, self._vms = received.get(b"etag", ""), vms
+        return VmList(float(received.get(b"age", "0")), self._vms)
 
     async def act_on_vm(self, vm: str, action: VmAction, action_id: str) -> None:
-        """Start a power action."""
+        """Start a power action on a VM."""
         order = {"vm": vm, "action": action.value, "action_id": action_id}
-        await self._ask("POST", "/vms/act", order)
+        await self._request_json("POST", "/vms/act", order)
 
     async def list_tasks(self) -> tuple[ListedTask, ...]:
-        """Read the attempts the platform knows."""
-        value = await self._ask("GET", "/tasks")
+        """Read the attempts that the platform reports."""
+        value = await self._request_json("GET", "/tasks")
         return CONVERTER.structure(value, tuple[ListedTask, ...])
 
     async def start_task(self, order: StartTask) -> None:
-        """Start an attempt."""
-        await self._ask("POST", "/tasks/start", attrs.asdict(order))
+        """Start an attempt at a task."""
+        await self._request_json("POST", "/tasks/start", attrs.asdict(order))
 
     async def stop_task(self, attempt: str) -> None:
-        """Stop an attempt."""
-        await self._ask("POST", "/tasks/stop", {"attempt": attempt})
+        """Stop an attempt at a task."""
+        await self._request_json("POST", "/tasks/stop", {"attempt": attempt})
 
     async def aclose(self) -> None:
         """Close all connections."""
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -1,4 +1,4 @@
-"""The platform's client against its stand-in, beside the stand-in itself."""
+"""Tests the HTTP client of the platform against an in-memory platform."""
 
 import typing as t
 
@@ -20,11 +20,11 @@
 from onyxgap.standins.memory_platform import MemoryPlatform
 from onyxgap.standins.platform_server import PlatformServer
 
-Test = t.Callable[[MemoryPlatform, PlatformClient], t.Awaitable[None]]
+ClientTest = t.Callable[[MemoryPlatform, PlatformClient], t.Awaitable[None]]
 
 
-def run_with_client(test: Test) -> None:
-    """Run a test with a client of a platform that starts with two VMs."""
+def run_with_client(test: ClientTest) -> None:
+    """Run a test with an in-memory platform of two VMs and a client of it."""
 
     async def run() -> None:
         platform = MemoryPlatform(boot_s=0.0)
@@ -40,7 +40,7 @@
     anyio.run(run)
 
 
-def test_client_gives_what_the_platform_gives() -> None:
+def test_client_returns_rows_and_objects_of_the_platform() -> None:
     async def test(platform: MemoryPlatform, client: PlatformClient) -> None:
         puts = [Put(f"k/{number}", {"n": number}, 0) for number in range(5)]
         assert (await client.transact(puts)).outcome is WriteOutcome.APPLIED
@@ -50,8 +50,8 @@
         assert await client.get("k/3") == await platform.get("k/3")
         assert not await client.get("none")
         for after, limit in (("", 10), ("k/1", 2), ("k/9", 5)):
-            theirs = await platform.scan("k/", after, limit)
-            assert await client.scan("k/", after, limit) == theirs
+            expected = await platform.scan("k/", after, limit)
+            assert await client.scan("k/", after, limit) == expected
         digest = await client.put_object(b"body")
         assert await client.get_object(digest) == b"body"
         with pytest.raises(PlatformUnavailableError):
@@ -60,7 +60,7 @@
     run_with_client(test)
 
 
-def test_unchanged_list_is_not_sent_again() -> None:
+def test_unchanged_vm_list_is_not_sent_again() -> None:
     async def test(platform: MemoryPlatform, client: PlatformClient) -> None:
         first = await client.list_vms()
         assert first.vms == (await platform.list_vms()).vms
@@ -73,7 +73,7 @@
     run_with_client(test)
 
 
-def test_orders_reach_the_platform_once() -> None:
+def test_repeated_requests_take_effect_once() -> None:
     async def test(platform: MemoryPlatform, client: PlatformClient) -> None:
         for _ in range(2):
             await client.act_on_vm("vm-1", VmAction.REBOOT, "a-1")
@@ -87,7 +87,7 @@
     run_with_client(test)
 
 
-def test_outage_and_lost_answers_are_told_apart_from_refusals() -> None:
+def test_lost_answer_and_outage_leave_the_outcome_unknown() -> None:
     async def test(platform: MemoryPlatform, client: PlatformClient) -> None:
         platform.faults = Faults(lose_answers=1.0)
         lost = await client.transact([Put("k", 1, 0)])
