--- a/src/onyxgap/adapters/target_client.py
+++ b/src/onyxgap/adapters/target_client.py
@@ -1,8 +1,8 @@
-"""Carries out one attempt with one target over HTTP/1.1.
+"""HTTP/1.1 client that sends a request to one target once.
 
-The answer is read whole before anything of it is used. A connection is used
-again only if the target echoed the request's id, since only then would a
-crossed answer be noticed, and if not a byte followed the answer.
+The complete answer is read before any of it is used. A connection is reused only
+if the target echoed the request ID and no bytes followed the answer. Without the
+echoed ID, an answer to another request could not be detected.
 """
 
 import collections
@@ -28,47 +28,47 @@
 from ..settings import parse_address
 from ..verdict import Verdict
 
-REUSE_IDLE_S = 1.0
+MAX_IDLE_S = 1.0
 PRUNE_INTERVAL_S = 5.0
-LATE_TIMER_S = 0.02
-CONNECTS_AT_ONCE = 32
+TIMER_TOLERANCE_S = 0.02
+MAX_CONCURRENT_CONNECTS = 32
 SERVER_ERROR = 500
-HEAD_END = b"\r\n\r\n"
+HEADERS_END = b"\r\n\r\n"
 NO_BODY_STATUSES = (204, 304)
-_PASSED_HEADERS = frozenset({"content-type", "content-language", "etag", "location"})
+_FORWARDED_HEADERS = frozenset({"content-type", "content-language", "etag", "location"})
 
 
 @attrs.define
 class _CountingStream(httpcore.AsyncNetworkStream):
-    """Counts what arrives, to notice bytes that follow an answer."""
+    """Counts received bytes to detect data that follows an answer."""
 
     stream: httpcore.AsyncNetworkStream
     received: int = 0
-    _head: bytes = b""
-    _head_bytes: int = 0
+    _headers: bytes = b""
+    _headers_bytes: int = 0
 
-    def start_exchange(self) -> None:
-        """Count anew."""
+    def reset(self) -> None:
+        """Reset the counters before the next exchange."""
         self.received = 0
-        self._head = b""
-        self._head_bytes = 0
+        self._headers = b""
+        self._headers_bytes = 0
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Read some bytes."""
+        """Read and count bytes; finds the end of the headers."""
         data = await self.stream.read(max_bytes, timeout)
         self.received += len(data)
-        if not self._head_bytes:
-            self._head += data
-            end = self._head.find(HEAD_END)
-            self._head_bytes = end + len(HEAD_END) if end >= 0 else 0
+        if not self._headers_bytes:
+            self._headers += data
+            end = self._headers.find(HEADERS_END)
+            self._headers_bytes = end + len(HEADERS_END) if end >= 0 else 0
         return data
 
-    def ends_after(self, body_bytes: int) -> bool:
-        """Tell whether nothing followed a body of this length."""
-        return self.received == self._head_bytes + body_bytes
+    def has_received_exactly(self, body_bytes: int) -> bool:
+        """Tell whether the headers, a body of this length and nothing else arrived."""
+        return self.received == self._headers_bytes + body_bytes
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Write all bytes."""
+        """Write the whole buffer."""
         await self.stream.write(buffer, timeout)
 
     async def aclose(self) -> None:
@@ -76,7 +76,7 @@
         await self.stream.aclose()
 
     def get_extra_info(self, info: str) -> t.Any:
-        """Look up a fact of the connection."""
+        """Return information about the connection."""
         return self.stream.get_extra_info(info)
 
 
@@ -87,7 +87,9 @@
     idle_since: float = 0.0
 
 
-class _Broken(Exception):  # noqa: N818 - a signal within this module
+class _ExchangeError(Exception):
+    """The exchange failed though the target may have run the request."""
+
     def __init__(self, reason: Reason) -> None:
         super().__init__(reason.value)
         self.reason = reason
@@ -95,28 +97,28 @@
 
 @attrs.define
 class HttpTargetClient:
-    """Sends requests to targets.
+    """Sends requests to targets and pools idle connections.
 
-    :param max_answer_bytes: largest answer that is taken.
-    :param connect_timeout_s: longest wait for a connection.
+    :param max_answer_bytes: maximum size of the body of an answer, in bytes.
+    :param connect_timeout_s: time-out of one attempt to connect, in seconds.
     """
 
     max_answer_bytes: int = defaults.MAX_ANSWER_BYTES
     connect_timeout_s: float = defaults.CONNECT_TIMEOUT_S
     _idle: dict[str, collections.deque[_Connection]] = attrs.field(factory=dict)
     _connecting: anyio.Semaphore = attrs.field(
-        factory=lambda: anyio.Semaphore(CONNECTS_AT_ONCE)
+        factory=lambda: anyio.Semaphore(MAX_CONCURRENT_CONNECTS)
     )
     _backend: httpcore.AnyIOBackend = attrs.field(factory=httpcore.AnyIOBackend)
 
     async def exchange(
         self, request: IdentifiedRequest, address: str, timeout_s: float
     ) -> Exchange:
-        """Send the request once and read the whole answer.
+        """Send the request once and read the complete answer.
 
-        :param request: the request.
+        :param request: request whose job is known.
         :param address: ``host:port`` of the target.
-        :param timeout_s: time left for the attempt.
+        :param timeout_s: seconds left for the attempt.
         """
         connection = await self._connect(address, timeout_s)
         if connection is None:
@@ -124,22 +126,22 @@
                 Verdict.NOT_RUN, Outcome.UNREACHABLE, reason=Reason.UNREACHABLE
             )
         exchange: Exchange | None = None
-        clean = False
+        reusable = False
         try:
             with anyio.fail_after(timeout_s):
-                exchange, clean = await self._exchange(connection, request, address)
+                exchange, reusable = await self._exchange(connection, request, address)
         except TimeoutError:
-            exchange = _break_exchange(Reason.TIMEOUT)
-        except _Broken as broken:
-            exchange = _break_exchange(broken.reason)
+            exchange = _build_failed_exchange(Reason.TIMEOUT)
+        except _ExchangeError as error:
+            exchange = _build_failed_exchange(error.reason)
         except (
             httpcore.NetworkError,
             httpcore.ProtocolError,
             httpcore.TimeoutException,
         ):
-            exchange = _break_exchange(Reason.BROKEN_ANSWER)
+            exchange = _build_failed_exchange(Reason.BROKEN_ANSWER)
         finally:
-            if not clean or not self._keep(address, connection):
+            if not reusable or not self._add_idle(address, connection):
                 await _close(connection)
         return exchange
 
@@ -148,7 +150,7 @@
         while idle:
             connection = idle.pop()
             age = time.monotonic() - connection.idle_since
-            if age <= REUSE_IDLE_S and not connection.http.has_expired():
+            if age <= MAX_IDLE_S and not connection.http.has_expired():
                 return connection
             await _close(connection)
         target = parse_address(address)
@@ -166,15 +168,17 @@
         while (left := end - time.monotonic()) > 0:
             wait_s = min(left, self.connect_timeout_s)
             try:
-                # the time-out runs only while few connects compete for the loop
+                # limits the concurrent connects, so that the time-out measures the
+                # target and not the load of this event loop
                 async with self._connecting:
                     started = time.monotonic()
                     return await self._backend.connect_tcp(
                         target.host, target.port, timeout=wait_s
                     )
             except httpcore.ConnectTimeout:
-                # a timer that fires late tells of our own load, not of the target
-                if time.monotonic() - started < wait_s + LATE_TIMER_S:
+                # a time-out that fires late means that this event loop was blocked,
+                # not that the target is unreachable: connect again
+                if time.monotonic() - started < wait_s + TIMER_TOLERANCE_S:
                     return None
             except (httpcore.ConnectError, OSError):
                 return None
@@ -183,39 +187,39 @@
     async def _exchange(
         self, connection: _Connection, request: IdentifiedRequest, address: str
     ) -> tuple[Exchange, bool]:
-        connection.stream.start_exchange()
+        connection.stream.reset()
         response = await connection.http.handle_async_request(
             _build_request(request, address)
         )
         headers = _decode_headers(response.headers)
         echoed = headers.get(REQUEST_ID_HEADER.lower())
         if echoed not in (None, request.caller.request_id):
-            raise _Broken(Reason.CROSSED_ANSWER)
+            raise _ExchangeError(Reason.CROSSED_ANSWER)
         body = await self._read_body(response, headers)
         await response.aclose()
-        clean = (
+        reusable = (
             echoed is not None
             and connection.http.is_idle()
             and "content-length" in headers
-            and connection.stream.ends_after(len(body))
+            and connection.stream.has_received_exactly(len(body))
         )
-        return _judge_answer(response.status, headers, body), clean
+        return _classify_answer(response.status, headers, body), reusable
 
     async def _read_body(
         self, response: httpcore.Response, headers: t.Mapping[str, str]
     ) -> bytes:
-        if not _has_known_end(response.status, headers):
-            raise _Broken(Reason.BROKEN_ANSWER)
+        if not _is_self_delimiting(response.status, headers):
+            raise _ExchangeError(Reason.BROKEN_ANSWER)
         parts = []
         size = 0
         async for part in response.aiter_stream():
             size += len(part)
             if size > self.max_answer_bytes:
-                raise _Broken(Reason.ANSWER_TOO_LARGE)
+                raise _ExchangeError(Reason.ANSWER_TOO_LARGE)
             parts.append(part)
         return b"".join(parts)
 
-    def _keep(self, address: str, connection: _Connection) -> bool:
+    def _add_idle(self, address: str, connection: _Connection) -> bool:
         idle = self._idle.setdefault(address, collections.deque())
         if len(idle) >= defaults.KEEP_IDLE_CONNECTIONS:
             return False
@@ -224,18 +228,18 @@
         return True
 
     async def prune(self) -> None:
-        """Close connections that are too old to be used again, until cancelled."""
+        """Close expired idle connections every ``PRUNE_INTERVAL_S`` until cancelled."""
         while True:
             await anyio.sleep(PRUNE_INTERVAL_S)
             await self.prune_once(time.monotonic())
 
     async def prune_once(self, now: float) -> None:
-        """Close the connections that are too old at a moment.
+        """Close the connections that have been idle for more than ``MAX_IDLE_S``.
 
-        :param now: monotonic seconds.
+        :param now: current time, in monotonic seconds.
         """
         for address, idle in list(self._idle.items()):
-            while idle and now - idle[0].idle_since > REUSE_IDLE_S:
+            while idle and now - idle[0].idle_since > MAX_IDLE_S:
                 await _close(idle.popleft())
             if not idle:
                 self._idle.pop(address, None)
@@ -275,7 +279,7 @@
     }
 
 
-def _has_known_end(status: int, headers: t.Mapping[str, str]) -> bool:
+def _is_self_delimiting(status: int, headers: t.Mapping[str, str]) -> bool:
     return (
         status in NO_BODY_STATUSES
         or "content-length" in headers
@@ -283,15 +287,17 @@
     )
 
 
-def _judge_answer(status: int, headers: t.Mapping[str, str], body: bytes) -> Exchange:
+def _classify_answer(
+    status: int, headers: t.Mapping[str, str], body: bytes
+) -> Exchange:
     if headers.get(STARTED_HEADER.lower()) == NOT_STARTED:
         return Exchange(
             Verdict.NOT_RUN, Outcome.OVERLOADED, reason=Reason.TARGET_REFUSED
         )
-    passed = tuple(item for item in headers.items() if item[0] in _PASSED_HEADERS)
+    forwarded = tuple(item for item in headers.items() if item[0] in _FORWARDED_HEADERS)
     outcome = Outcome.FAILED if status >= SERVER_ERROR else Outcome.SERVED
-    return Exchange(Verdict.RAN, outcome, status, passed, body)
+    return Exchange(Verdict.RAN, outcome, status, forwarded, body)
 
 
-def _break_exchange(reason: Reason) -> Exchange:
+def _build_failed_exchange(reason: Reason) -> Exchange:
     return Exchange(Verdict.MAY_HAVE_RUN, Outcome.FAILED, reason=reason)
--- a/tests/test_target_client.py
+++ b/tests/test_target_client.py
@@ -1,6 +1,6 @@
-"""What the target client makes of broken, late and crossed answers.
+"""Tests the target client with broken, late and mismatched answers.
 
-Each target here is a few lines over a real socket that answer byte by byte.
+Each target is a short script that sends raw bytes over a TCP connection.
 """
 
 import random
@@ -12,7 +12,7 @@
 import httpcore
 import pytest
 
-from onyxgap.adapters.target_client import CONNECTS_AT_ONCE
+from onyxgap.adapters.target_client import MAX_CONCURRENT_CONNECTS
 from onyxgap.adapters.target_client import HttpTargetClient
 from onyxgap.defaults import KEEP_IDLE_CONNECTIONS
 from onyxgap.manifest import Job
@@ -24,9 +24,11 @@
 from onyxgap.request.messages import Reason
 from onyxgap.verdict import Verdict
 
-Script = t.Callable[[anyio.abc.SocketStream, bytes], t.Awaitable[None]]
-ECHO = b"Onyxgap-Request-Id: r1\r\n"
-WHOLE = b"HTTP/1.1 200 OK\r\n" + ECHO + b"Content-Length: 5\r\n\r\nwhole"
+TargetScript = t.Callable[[anyio.abc.SocketStream, bytes], t.Awaitable[None]]
+ECHOED_ID_HEADER = b"Onyxgap-Request-Id: r1\r\n"
+COMPLETE_ANSWER = (
+    b"HTTP/1.1 200 OK\r\n" + ECHOED_ID_HEADER + b"Content-Length: 5\r\n\r\nwhole"
+)
 
 
 def build_request(request_id: str = "r1") -> IdentifiedRequest:
@@ -35,14 +37,16 @@
     return IdentifiedRequest(caller, job, "live-bidding", False, 1e9)
 
 
-async def exchange_with(script: Script, timeout_s: float = 5.0) -> Exchange:
-    """Exchange once with a scripted target."""
-    exchanges = await exchange_often(script, [timeout_s])
+async def exchange_once(script: TargetScript, timeout_s: float = 5.0) -> Exchange:
+    """Send one request to a scripted target."""
+    exchanges = await exchange_repeatedly(script, [timeout_s])
     return exchanges[0]
 
 
-async def exchange_often(script: Script, timeouts: list[float]) -> list[Exchange]:
-    """Exchange once for each time-out with a scripted target, on one client."""
+async def exchange_repeatedly(
+    script: TargetScript, timeouts: list[float]
+) -> list[Exchange]:
+    """Send one request per time-out to a scripted target, with the same client."""
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
 
@@ -68,8 +72,8 @@
     return exchanges
 
 
-def answer(data: bytes, close: bool = True) -> Script:
-    """Build a script that answers with these bytes."""
+def build_script(data: bytes, close: bool = True) -> TargetScript:
+    """Build a script that sends the bytes as its answer."""
 
     async def script(stream: anyio.abc.SocketStream, request: bytes) -> None:
         await stream.send(data)
@@ -79,11 +83,11 @@
     return script
 
 
-async def answer_never(stream: anyio.abc.SocketStream, request: bytes) -> None:
+async def never_answer(stream: anyio.abc.SocketStream, request: bytes) -> None:
     await anyio.sleep_forever()
 
 
-BROKEN = {
+BROKEN_ANSWERS = {
     "nothing": b"",
     "part of the headers": b"HTTP/1.1 200 OK\r\nContent-Le",
     "truncated body": b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nshort",
@@ -99,45 +103,47 @@
 
 
 @pytest.mark.promise("whole-answer")
-@pytest.mark.parametrize("data", BROKEN.values(), ids=BROKEN.keys())
-def test_broken_answer_is_never_passed_on(data: bytes) -> None:
-    exchange = anyio.run(exchange_with, answer(data))
+@pytest.mark.parametrize("data", BROKEN_ANSWERS.values(), ids=BROKEN_ANSWERS.keys())
+def test_broken_answer_is_not_forwarded(data: bytes) -> None:
+    exchange = anyio.run(exchange_once, build_script(data))
     assert exchange.verdict is Verdict.MAY_HAVE_RUN
     assert exchange.reason is Reason.BROKEN_ANSWER
     assert exchange.body == b""
 
 
 @pytest.mark.promise("whole-answer")
-def test_whole_answers_are_passed_on() -> None:
+def test_complete_answers_are_forwarded() -> None:
     chunked = (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n"
     )
-    for data in (WHOLE, chunked):
-        exchange = anyio.run(exchange_with, answer(data))
+    for data in (COMPLETE_ANSWER, chunked):
+        exchange = anyio.run(exchange_once, build_script(data))
         assert (exchange.verdict, exchange.body) == (Verdict.RAN, b"whole")
 
 
 @pytest.mark.promise("whole-answer")
 def test_oversize_answer_is_refused() -> None:
     data = b"HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n" + b"x" * 2000
-    exchange = anyio.run(exchange_with, answer(data))
+    exchange = anyio.run(exchange_once, build_script(data))
     assert exchange.reason is Reason.ANSWER_TOO_LARGE
     assert exchange.verdict is Verdict.MAY_HAVE_RUN
 
 
 @pytest.mark.promise("whole-answer")
 def test_answer_to_another_request_is_refused() -> None:
-    crossed = WHOLE.replace(b"r1", b"r2")
-    exchange = anyio.run(exchange_with, answer(crossed))
+    crossed = COMPLETE_ANSWER.replace(b"r1", b"r2")
+    exchange = anyio.run(exchange_once, build_script(crossed))
     assert exchange.verdict is Verdict.MAY_HAVE_RUN
     assert exchange.reason is Reason.CROSSED_ANSWER
 
 
 @pytest.mark.promise("whole-answer")
-def test_bytes_after_the_end_reach_no_later_request() -> None:
-    # the second answer lies on the connection before anybody asks for it
-    stale = WHOLE.replace(b"whole", b"stale")
-    exchanges = anyio.run(exchange_often, answer(WHOLE + stale, close=False), [5] * 3)
+def test_bytes_after_an_answer_reach_no_later_request() -> None:
+    # the target sends a second answer before the next request
+    stale = COMPLETE_ANSWER.replace(b"whole", b"stale")
+    exchanges = anyio.run(
+        exchange_repeatedly, build_script(COMPLETE_ANSWER + stale, close=False), [5] * 3
+    )
     assert all(exchange.body in (b"whole", b"") for exchange in exchanges)
     assert exchanges[0].body == b"whole"
 
@@ -151,30 +157,30 @@
         calls += 1
         if calls == 1:
             await anyio.sleep(0.3)
-            await stream.send(WHOLE.replace(b"whole", b"late!"))
+            await stream.send(COMPLETE_ANSWER.replace(b"whole", b"late!"))
         else:
-            await stream.send(WHOLE)
+            await stream.send(COMPLETE_ANSWER)
 
-    first, second = anyio.run(exchange_often, script, [0.1, 5])
+    first, second = anyio.run(exchange_repeatedly, script, [0.1, 5])
     assert (first.verdict, first.reason) == (Verdict.MAY_HAVE_RUN, Reason.TIMEOUT)
     assert second.body == b"whole"
 
 
 @pytest.mark.promise("whole-answer")
-def test_connection_without_echo_is_not_used_again() -> None:
+def test_connection_without_echoed_id_is_not_reused() -> None:
     streams = set()
 
     async def script(stream: anyio.abc.SocketStream, request: bytes) -> None:
         streams.add(id(stream))
-        await stream.send(WHOLE.replace(ECHO, b""))
+        await stream.send(COMPLETE_ANSWER.replace(ECHOED_ID_HEADER, b""))
 
-    exchanges = anyio.run(exchange_often, script, [5] * 3)
+    exchanges = anyio.run(exchange_repeatedly, script, [5] * 3)
     assert len(streams) == 3
     assert all(exchange.verdict is Verdict.RAN for exchange in exchanges)
 
 
 @pytest.mark.promise("not-run")
-def test_refused_connection_was_not_run() -> None:
+def test_refused_connection_gives_not_run() -> None:
     async def run() -> Exchange:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
@@ -188,63 +194,64 @@
 
 
 @pytest.mark.promise("not-run")
-def test_refusal_with_proof_was_not_run() -> None:
+def test_refusal_with_proof_gives_not_run() -> None:
     data = b"HTTP/1.1 503 Busy\r\nOnyxgap-Started: no\r\nContent-Length: 0\r\n\r\n"
-    exchange = anyio.run(exchange_with, answer(data))
+    exchange = anyio.run(exchange_once, build_script(data))
     assert exchange.verdict is Verdict.NOT_RUN
     assert exchange.outcome is Outcome.OVERLOADED
 
 
 @pytest.mark.promise("not-run")
-def test_refusal_without_proof_ran() -> None:
+def test_refusal_without_proof_gives_ran() -> None:
     data = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-    exchange = anyio.run(exchange_with, answer(data))
+    exchange = anyio.run(exchange_once, build_script(data))
     assert (exchange.verdict, exchange.status) == (Verdict.RAN, 503)
 
 
 @pytest.mark.promise("not-run")
-def test_silent_target_may_have_run() -> None:
+def test_missing_answer_gives_may_have_run() -> None:
     received: list[bytes] = []
 
     async def record(stream: anyio.abc.SocketStream, request: bytes) -> None:
         received.append(request)
-        await answer_never(stream, request)
+        await never_answer(stream, request)
 
-    # long enough to connect on a busy machine; the time-out must come after that
-    exchange = anyio.run(exchange_with, record, 2.0)
+    # long enough to connect on a busy machine, so that the answer times out and
+    # not the connect
+    exchange = anyio.run(exchange_once, record, 2.0)
     assert received
     assert exchange.verdict is Verdict.MAY_HAVE_RUN
 
 
 @pytest.mark.promise("not-run")
-def test_target_not_reached_in_time_was_not_run() -> None:
+def test_timeout_before_connecting_gives_not_run() -> None:
     received: list[bytes] = []
 
     async def record(stream: anyio.abc.SocketStream, request: bytes) -> None:
         received.append(request)
 
-    exchange = anyio.run(exchange_with, record, 0.0)
+    exchange = anyio.run(exchange_once, record, 0.0)
     assert not received
     assert exchange.verdict is Verdict.NOT_RUN
 
 
 @pytest.mark.promise("whole-answer")
-def test_answer_cut_at_every_byte_is_never_passed_on() -> None:
+def test_truncated_answer_is_not_forwarded() -> None:
     rng = random.Random(3)
-    for cut in rng.sample(range(len(WHOLE)), 20):
-        exchange = anyio.run(exchange_with, answer(WHOLE[:cut]))
+    for cut in rng.sample(range(len(COMPLETE_ANSWER)), 20):
+        exchange = anyio.run(exchange_once, build_script(COMPLETE_ANSWER[:cut]))
         assert exchange.verdict is Verdict.MAY_HAVE_RUN, cut
 
 
 @pytest.mark.promise("not-run")
-def test_time_out_of_a_busy_process_is_no_proof_against_the_target() -> None:
+def test_connect_timeout_of_blocked_event_loop_is_retried() -> None:
     attempts = 0
 
     async def connect(*args: t.Any, **options: t.Any) -> t.Any:
         nonlocal attempts
         attempts += 1
         if attempts == 1:
-            # the event loop was busy for longer than the whole time-out
+            # blocks the event loop for longer than the connect time-out
             time.sleep(0.3)
             raise httpcore.ConnectTimeout
         return await httpcore.AnyIOBackend().connect_tcp(*args, **options)
@@ -255,7 +262,7 @@
 
         async def serve(stream: anyio.abc.SocketStream) -> None:
             await stream.receive()
-            await stream.send(WHOLE)
+            await stream.send(COMPLETE_ANSWER)
 
         client = HttpTargetClient()
         client._backend.connect_tcp = connect  # type: ignore[method-assign]
@@ -272,7 +279,7 @@
 
 
 @pytest.mark.promise("not-run")
-def test_few_connects_compete_at_once() -> None:
+def test_concurrent_connects_are_limited() -> None:
     competing = peak = 0
 
     async def connect(*args: t.Any, **options: t.Any) -> t.Any:
@@ -291,12 +298,12 @@
                 group.start_soon(client.exchange, build_request(), "127.0.0.1:1", 5)
 
     anyio.run(run)
-    assert 0 < peak <= CONNECTS_AT_ONCE
+    assert 0 < peak <= MAX_CONCURRENT_CONNECTS
 
 
-def test_few_connections_are_kept_and_old_ones_closed() -> None:
+def test_idle_connections_are_limited_and_expire() -> None:
     async def script(stream: anyio.abc.SocketStream, request: bytes) -> None:
-        await stream.send(WHOLE)
+        await stream.send(COMPLETE_ANSWER)
 
     async def run() -> tuple[int, int]:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
