--- a/src/onyxgap/platform/connections.py
+++ b/src/onyxgap/platform/connections.py
@@ -1,9 +1,9 @@
-"""Connections to one worker, for owners that make thousands of calls a second.
+"""HTTP/1.1 connection pool to one worker, with a low processor cost per call.
 
-Processor time bounds what an owner can start: at its turn a large queue brings more
-than a thousand tasks a second, each an order and a part of a report. Over the general
-client a call takes several times the processor time; `python -m bench.calls` compares
-them.
+CPU time limits how many tasks an owner can start. In a demand burst a large queue gets
+more than a thousand tasks a second; each costs one order and part of a report. A call
+through :class:`~onyxgap.platform.http.HttpClient` takes several times the CPU time;
+`python -m bench.calls` compares the two.
 """
 
 import select
@@ -21,15 +21,15 @@
 from .http import Headers
 
 READ_BYTES = 65_536
-"""Most that is read at once; a worker's report is a few kilobytes."""
+"""Largest single read; a worker's report is a few kilobytes."""
 
 
 class _BadAnswerError(Exception):
-    """The peer closed the connection within an answer, or sent no HTTP."""
+    """The peer closed the connection during an answer, or did not send HTTP."""
 
 
 class _AnswerReader:
-    """Puts an answer together from what arrives."""
+    """Assembles an answer from the received bytes."""
 
     def __init__(self) -> None:
         self.answer: Answer | None = None
@@ -38,18 +38,18 @@
         self._parser = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Take what arrived.
+        """Parse received bytes.
 
-        :raises httptools.HttpParserError: when it is no HTTP.
+        :raises httptools.HttpParserError: when they are not HTTP.
         """
         self._parser.feed_data(data)
 
     def on_body(self, piece: bytes) -> None:
-        """Take a piece of the body; called by the parser."""
+        """Store a piece of the body; called by the parser."""
         self._pieces.append(piece)
 
     def on_message_complete(self) -> None:
-        """Finish the answer; called by the parser, which knows its end only now."""
+        """Complete the answer; called by the parser at the end of the message."""
         self.answer = Answer(self._parser.get_status_code(), b"".join(self._pieces))
         self.stays_open = self._parser.should_keep_alive()
 
@@ -64,7 +64,7 @@
     :param path: path with query.
     :param body: JSON value, ``None`` for no body.
     :param headers: further headers.
-    :raises ValueError: when a text would end its line.
+    :raises ValueError: when a text could break a header line.
     """
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers]
@@ -74,14 +74,14 @@
         lines.append("Content-Type: application/json")
         lines.append(f"Content-Length: {len(content)}")
     for line in lines:
-        # ids and addresses were written by others
+        # IDs and addresses come from other processes: prevent header injection
         if not (line.isascii() and line.isprintable()):
-            raise ValueError(f"no header line: {line!r}")
+            raise ValueError(f"invalid header line: {line!r}")
     return "\r\n".join([*lines, "", ""]).encode() + content
 
 
 def _is_readable(stream: anyio.abc.SocketStream) -> bool:
-    """Tell whether an idle connection has something to read: mostly its end."""
+    """Tell whether an idle connection is readable, which mostly means closed."""
     poll = select.poll()
     raw_socket = stream.extra(anyio.abc.SocketAttribute.raw_socket)
     poll.register(raw_socket.fileno(), select.POLLIN)
@@ -91,7 +91,7 @@
 async def _exchange(
     stream: anyio.abc.SocketStream, request: bytes
 ) -> tuple[Answer, bool]:
-    """Send a request and read its answer; tells whether the connection stays open."""
+    """Send a request; return its answer and whether the connection stays open."""
     reader = _AnswerReader()
     await stream.send(request)
     while reader.answer is None:
@@ -104,22 +104,22 @@
 
 @attrs.define(eq=False)
 class WorkerConnections:
-    """Calls one worker; keeps connections open between calls.
+    """HTTP client of one worker that keeps connections open between calls.
 
-    A call that fails drops every idle connection: one that went silent without a reset
-    is mostly not alone.
+    A failed call closes every idle connection: when one connection breaks without a
+    reset, the others to the same address are mostly broken too.
 
     :param address: ``host:port``.
-    :param most: most connections at once.
+    :param max_connections: maximum number of connections in use at once.
     """
 
     address: str
-    most: int
+    max_connections: int
     _idle: list[anyio.abc.SocketStream] = attrs.field(factory=list)
-    _places: anyio.Semaphore = attrs.field(init=False)
+    _permits: anyio.Semaphore = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._places = anyio.Semaphore(self.most)
+        self._permits = anyio.Semaphore(self.max_connections)
 
     async def call(
         self,
@@ -130,15 +130,15 @@
         timeout_s: float,
         headers: Headers = (),
     ) -> Answer:
-        """Call once; see :meth:`HttpCalls.call`."""
+        """Make one call, without retries; see :meth:`HttpCalls.call`."""
         stream: anyio.abc.SocketStream | None = None
         try:
             request = encode_request(self.address, method, path, body, headers)
             with anyio.fail_after(timeout_s):
-                async with self._places:
-                    stream = await self._open()
-                    answer, stays_open = await self._use(stream, request)
-                    await self._put_back(stream, stays_open)
+                async with self._permits:
+                    stream = await self._acquire()
+                    answer, stays_open = await self._exchange_or_close(stream, request)
+                    await self._release(stream, stays_open)
         except (
             OSError,
             ValueError,
@@ -150,9 +150,9 @@
             return Answer(0, b"", failure, type(error).__name__)
         return answer
 
-    async def _open(self) -> anyio.abc.SocketStream:
+    async def _acquire(self) -> anyio.abc.SocketStream:
         while self._idle:
-            # the newest one, so that the others can stay unused
+            # the most recently used one, so that the others can become idle
             stream = self._idle.pop()
             if not _is_readable(stream):
                 return stream
@@ -161,17 +161,17 @@
         return await anyio.connect_tcp(host, int(port))
 
     @staticmethod
-    async def _use(
+    async def _exchange_or_close(
         stream: anyio.abc.SocketStream, request: bytes
     ) -> tuple[Answer, bool]:
         try:
             return await _exchange(stream, request)
         except BaseException:
-            # what arrives later would be taken for the answer of another call
+            # a late answer would be taken for the answer to the next call
             await anyio.aclose_forcefully(stream)
             raise
 
-    async def _put_back(self, stream: anyio.abc.SocketStream, stays_open: bool) -> None:
+    async def _release(self, stream: anyio.abc.SocketStream, stays_open: bool) -> None:
         if stays_open and len(self._idle) < IDLE_CONNECTIONS:
             self._idle.append(stream)
         else:
--- a/src/onyxgap/platform/http.py
+++ b/src/onyxgap/platform/http.py
@@ -1,4 +1,4 @@
-"""HTTP calls to the platform's services and workers, with typed failures."""
+"""HTTP client for the platform's services, with typed failures."""
 
 import enum
 import typing as t
@@ -8,20 +8,20 @@
 import orjson
 
 KEEPALIVE_S = 60.0
-"""Idle seconds after which a connection is closed; workers allow more."""
+"""Idle seconds after which a connection is closed; workers allow a longer time."""
 IDLE_CONNECTIONS = 16
-"""Idle connections kept for an address; a burst opens more for its duration."""
+"""Maximum idle connections kept per address; bursts open more temporarily."""
 
 Headers = t.Sequence[tuple[str, str]]
-"""Names and values of headers."""
+"""Header names and values."""
 
-_NOT_SENT = (
+_NOT_SENT_ERRORS = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
     httpcore.PoolTimeout,
     httpcore.LocalProtocolError,
 )
-_NO_ANSWER = (
+_NO_ANSWER_ERRORS = (
     httpcore.NetworkError,
     httpcore.TimeoutException,
     httpcore.ProtocolError,
@@ -29,7 +29,7 @@
 
 
 class CallFailure(enum.Enum):
-    """How far a call got that has no answer."""
+    """How far a call without an answer got."""
 
     NOT_SENT = "not-sent"
     NO_ANSWER = "no-answer"
@@ -40,9 +40,9 @@
     """The answer to a call, or why there is none.
 
     :param status: HTTP status, 0 without an answer.
-    :param body: its body.
-    :param failure: why there is no answer, if there is none.
-    :param reason: name of the error, for the log.
+    :param body: body of the answer.
+    :param failure: how far the call got if there is no answer, else ``None``.
+    :param reason: name of the error, for logs.
     """
 
     status: int
@@ -51,20 +51,20 @@
     reason: str = ""
 
     def parse(self) -> t.Any:
-        """Decode the JSON body; an empty object when it is not JSON."""
+        """Decode the JSON body; an empty object if it is not JSON."""
         try:
             return orjson.loads(self.body)
         except ValueError:
             return {}
 
     def read_object(self) -> dict[str, t.Any]:
-        """Decode the JSON body; an empty object when it is no object."""
+        """Decode the JSON body; an empty object if it is not an object."""
         value = self.parse()
         return value if isinstance(value, dict) else {}
 
 
 class HttpCalls(t.Protocol):
-    """Calls to one service."""
+    """HTTP client of one service or worker."""
 
     async def call(
         self,
@@ -75,7 +75,7 @@
         timeout_s: float,
         headers: Headers = (),
     ) -> Answer:
-        """Call once; never raises for a failed call.
+        """Make one call, without retries; never raises for a failed call.
 
         :param method: HTTP method.
         :param path: path with query.
@@ -85,7 +85,7 @@
         """
 
     async def close(self) -> None:
-        """Close every connection that is not in use."""
+        """Close the idle connections; an implementation may close all of them."""
 
 
 def _build_pool(connections: int) -> httpcore.AsyncConnectionPool:
@@ -98,13 +98,13 @@
 
 @attrs.define
 class HttpClient:
-    """Calls one service; keeps connections open between calls.
+    """HTTP client of one service that keeps connections open between calls.
 
-    A timeout drops every idle connection: one that went silent without a reset
-    is mostly not alone.
+    A failed call closes every idle connection: when one connection breaks without a
+    reset, the others to the same address are mostly broken too.
 
     :param address: ``host:port``.
-    :param connections: most connections at once.
+    :param connections: maximum number of connections at once.
     """
 
     address: str
@@ -123,9 +123,10 @@
         timeout_s: float,
         headers: Headers = (),
     ) -> Answer:
-        """Call once; see :meth:`HttpCalls.call`.
+        """Make one call, without retries; see :meth:`HttpCalls.call`.
 
-        Connecting, sending and waiting may each take ``timeout_s``.
+        ``timeout_s`` applies separately to acquiring a connection, connecting,
+        sending and waiting.
         """
         raw = [(b"Host", self.address.encode())]
         raw += [(name.encode(), value.encode()) for name, value in headers]
@@ -150,15 +151,15 @@
                     }
                 },
             )
-        except _NOT_SENT as error:
-            await self._renew(pool)
+        except _NOT_SENT_ERRORS as error:
+            await self._replace_pool(pool)
             return Answer(0, b"", CallFailure.NOT_SENT, type(error).__name__)
-        except _NO_ANSWER as error:
-            await self._renew(pool)
+        except _NO_ANSWER_ERRORS as error:
+            await self._replace_pool(pool)
             return Answer(0, b"", CallFailure.NO_ANSWER, type(error).__name__)
         return Answer(response.status, response.content)
 
-    async def _renew(self, failed: httpcore.AsyncConnectionPool) -> None:
+    async def _replace_pool(self, failed: httpcore.AsyncConnectionPool) -> None:
         if failed is not self._pool:
             return
         self._pool = _build_pool(self.connections)
--- a/src/onyxgap/platform/workers.py
+++ b/src/onyxgap/platform/workers.py
@@ -1,4 +1,4 @@
-"""Calls to workers: start, stop, pace and hold with a report of what runs."""
+"""Client of workers: start, stop and slow down runs, renew leases, read reports."""
 
 import typing as t
 
@@ -21,12 +21,15 @@
 from .registry import decode_start
 
 ORDER_TIMEOUT_S = 0.6
-"""A worker answers within milliseconds; longer than an order to start stays valid."""
+"""Longer than a start order stays valid; a worker answers within milliseconds."""
 HOLD_MARGIN_S = 0.3
-"""Beyond the wait that was asked for: a busy worker that is silent is found within
-0.6 s, and a look that was given up too early is repeated at once."""
+"""Time allowed beyond the requested wait.
+
+A busy worker that stops answering is detected within 0.6 s. A hold request that was
+given up too early is repeated at once.
+"""
 WORKER_CONNECTIONS = 48
-"""Below the 64 connections that a worker takes."""
+"""Maximum connections to one address; a worker accepts 64."""
 
 _BY_STATUS: t.Mapping[int, ReplyKind] = {
     200: ReplyKind.DONE,
@@ -45,9 +48,9 @@
 
 
 def decode_reply(answer: Answer) -> Reply:
-    """Read what a worker did with an order.
+    """Decode a worker's reply to an order.
 
-    :param answer: its answer, or why there is none.
+    :param answer: the worker's answer, or the failure of the call.
     """
     if answer.failure is CallFailure.NOT_SENT:
         return Reply(ReplyKind.NOT_SENT, detail=answer.reason)
@@ -82,9 +85,9 @@
 
 
 def decode_report(answer: Answer) -> HoldReport | Reply:
-    """Read a worker's lists.
+    """Decode a worker's report of running and ended tasks.
 
-    :param answer: its answer, or why there is none.
+    :param answer: the worker's answer, or the failure of the call.
     """
     if answer.status != 200:
         return decode_reply(answer)
@@ -102,20 +105,20 @@
 
 @attrs.define
 class PlatformWorkers:
-    """Calls to workers over HTTP, by connections of their own for each address."""
+    """Calls workers over HTTP; keeps connections for each worker and address."""
 
-    _opened: dict[str, dict[str, WorkerConnections]] = attrs.field(factory=dict)
+    _connections: dict[str, dict[str, WorkerConnections]] = attrs.field(factory=dict)
 
-    def _find(self, worker_id: str, address: str) -> WorkerConnections:
-        opened = self._opened.setdefault(worker_id, {})
-        found = opened.get(address)
-        if found is None:
-            # a worker that starts again may do so elsewhere
-            found = WorkerConnections(address, WORKER_CONNECTIONS)
-            opened[address] = found
-        return found
+    def _get_connections(self, worker_id: str, address: str) -> WorkerConnections:
+        by_address = self._connections.setdefault(worker_id, {})
+        connections = by_address.get(address)
+        if connections is None:
+            # a restarted worker may have another address
+            connections = WorkerConnections(address, WORKER_CONNECTIONS)
+            by_address[address] = connections
+        return connections
 
-    async def _order(
+    async def _send_order(
         self,
         worker_id: str,
         address: str,
@@ -123,7 +126,7 @@
         body: t.Mapping[str, t.Any],
         timeout_s: float = ORDER_TIMEOUT_S,
     ) -> Answer:
-        return await self._find(worker_id, address).call(
+        return await self._get_connections(worker_id, address).call(
             "POST",
             path,
             body,
@@ -132,7 +135,7 @@
         )
 
     async def start(self, order: StartOrder) -> Reply:
-        """Order a run to start."""
+        """Send a start order."""
         body: dict[str, t.Any] = {
             "task": str(order.task),
             "run": order.run,
@@ -144,24 +147,28 @@
             body["checkpoint"] = order.checkpoint
         if order.ticket:
             body["ticket"] = order.ticket
-        answer = await self._order(order.worker_id, order.address, "/run-start", body)
+        answer = await self._send_order(
+            order.worker_id, order.address, "/run-start", body
+        )
         return decode_reply(answer)
 
     async def stop(self, order: StopOrder) -> Reply:
-        """Order a run to stop; it never starts afterwards."""
+        """Send a stop order; the worker never starts the run afterwards."""
         body = {
             "task": str(order.task),
             "run": order.run,
             "fencing_token": order.epoch,
         }
-        answer = await self._order(order.worker_id, order.address, "/run-stop", body)
+        answer = await self._send_order(
+            order.worker_id, order.address, "/run-stop", body
+        )
         return decode_reply(answer)
 
     async def set_pace(self, order: StopOrder, percent: int) -> Reply:
-        """Order a run to work at a share of its speed.
+        """Set the speed of a run.
 
-        :param order: the run.
-        :param percent: 0 to 100.
+        :param order: names the run.
+        :param percent: percentage of full speed, 0 to 100.
         """
         body = {
             "task": str(order.task),
@@ -169,11 +176,11 @@
             "percent": percent,
             "fencing_token": order.epoch,
         }
-        answer = await self._order(order.worker_id, order.address, "/pace", body)
+        answer = await self._send_order(order.worker_id, order.address, "/pace", body)
         return decode_reply(answer)
 
     async def hold(self, order: HoldOrder) -> HoldReport | Reply:
-        """Extend the lease of everything on a worker and read its lists."""
+        """Renew the leases of all runs on a worker and read its report."""
         body: dict[str, t.Any] = {
             "fencing_token": order.epoch,
             "acked_upto": order.acknowledged,
@@ -182,7 +189,7 @@
             body["deadline_ms"] = int(order.deadline_ms)
         if order.wait_ms:
             body["wait_ms"] = order.wait_ms
-        answer = await self._order(
+        answer = await self._send_order(
             order.worker_id,
             order.address,
             "/hold",
@@ -192,6 +199,6 @@
         return decode_report(answer)
 
     async def forget(self, worker_id: str) -> None:
-        """Close the connections to a worker that is gone."""
-        for connections in self._opened.pop(worker_id, {}).values():
+        """Close the idle connections to a removed worker."""
+        for connections in self._connections.pop(worker_id, {}).values():
             await connections.close()
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Calls to a worker over real sockets: the same answers as the general client gives."""
+"""Tests that the two HTTP clients give the same answers over real sockets."""
 
 import collections
 import typing as t
@@ -15,32 +15,34 @@
 from onyxgap.platform.http import HttpClient
 
 TIMEOUT_S = 0.3
-FINE = b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n" + b'{"a":1}'
-CLOSING = FINE.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
-CHUNKED = (
+OK_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n" + b'{"a":1}'
+CLOSING_ANSWER = OK_ANSWER.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n")
+CHUNKED_ANSWER = (
     b"HTTP/1.1 409 Conflict\r\nTransfer-Encoding: chunked\r\n\r\n"
     b"3\r\n{}x\r\n2\r\nyz\r\n0\r\n\r\n"
 )
 
 
 @attrs.define(eq=False)
-class Peer:
-    """A server that answers as it is told, and keeps what it was asked.
+class ScriptedServer:
+    """Server that sends scripted answers and records the requests.
 
-    :param answers: bytes for each request in turn; ``None`` for silence, an empty
-        text closes the connection.
+    :param answers: bytes to send for each request in turn; ``None`` sends nothing, and
+        empty bytes close the connection.
+    :param connection_count: number of accepted connections.
+    :param requests: bytes received, one item per request.
     """
 
     answers: collections.deque[bytes | None]
-    opened: int = 0
-    asked: list[bytes] = attrs.field(factory=list)
+    connection_count: int = 0
+    requests: list[bytes] = attrs.field(factory=list)
 
     async def serve(self, stream: anyio.abc.SocketStream) -> None:
-        self.opened += 1
+        self.connection_count += 1
         async with stream:
             while True:
                 try:
-                    self.asked.append(await stream.receive())
+                    self.requests.append(await stream.receive())
                 except (anyio.EndOfStream, anyio.BrokenResourceError):
                     return
                 answer = self.answers.popleft()
@@ -50,32 +52,32 @@
                 if not answer:
                     return
                 await stream.send(answer)
-                if answer == CLOSING or not answer.startswith(b"HTTP"):
+                if answer == CLOSING_ANSWER or not answer.startswith(b"HTTP"):
                     return
 
 
-Script = t.Callable[[HttpCalls, Peer], t.Awaitable[None]]
+Script = t.Callable[[HttpCalls, ScriptedServer], t.Awaitable[None]]
 
 
-def play(
+def run_script(
     build: t.Callable[[str], HttpCalls],
     answers: t.Iterable[bytes | None],
     script: Script,
-) -> Peer:
-    peer = Peer(collections.deque(answers))
+) -> ScriptedServer:
+    server = ScriptedServer(collections.deque(answers))
 
     async def main() -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         host, port = listener.extra(anyio.abc.SocketAttribute.local_address)
         async with anyio.create_task_group() as group:
-            group.start_soon(listener.serve, peer.serve)
-            calls = build(f"{host}:{port}")
-            await script(calls, peer)
-            await calls.close()
+            group.start_soon(listener.serve, server.serve)
+            client = build(f"{host}:{port}")
+            await script(client, server)
+            await client.close()
             group.cancel_scope.cancel()
 
     anyio.run(main)
-    return peer
+    return server
 
 
 def build_connections(address: str) -> WorkerConnections:
@@ -86,11 +88,11 @@
     return HttpClient(address, 4)
 
 
-both = pytest.mark.parametrize("build", [build_connections, build_client])
+both_clients = pytest.mark.parametrize("build", [build_connections, build_client])
 
 
-async def ask(calls: HttpCalls, path: str = "/hold") -> Answer:
-    return await calls.call(
+async def send_request(client: HttpCalls, path: str = "/hold") -> Answer:
+    return await client.call(
         "POST",
         path,
         {"x": 1},
@@ -99,60 +101,62 @@
     )
 
 
-@both
-def test_answers_are_read_whole_over_one_connection(build: t.Any) -> None:
-    async def script(calls: HttpCalls, peer: Peer) -> None:
-        assert await ask(calls) == Answer(200, b'{"a":1}')
-        assert await ask(calls) == Answer(409, b"{}xyz")
-        assert await ask(calls) == Answer(200, b'{"a":1}')
+@both_clients
+def test_complete_answers_are_read_over_one_connection(build: t.Any) -> None:
+    async def script(client: HttpCalls, server: ScriptedServer) -> None:
+        assert await send_request(client) == Answer(200, b'{"a":1}')
+        assert await send_request(client) == Answer(409, b"{}xyz")
+        assert await send_request(client) == Answer(200, b'{"a":1}')
 
-    peer = play(build, [FINE, CHUNKED, FINE], script)
-    assert peer.opened == 1
-    request = peer.asked[0].lower()
+    server = run_script(build, [OK_ANSWER, CHUNKED_ANSWER, OK_ANSWER], script)
+    assert server.connection_count == 1
+    request = server.requests[0].lower()
     assert request.startswith(b"post /hold http/1.1\r\n")
     assert b"\r\nexpected-instance: w1\r\n" in request
     assert request.endswith(b'\r\n\r\n{"x":1}')
 
 
-@both
-def test_connection_that_the_worker_closed_is_not_used_again(build: t.Any) -> None:
-    async def script(calls: HttpCalls, peer: Peer) -> None:
+@both_clients
+def test_connection_closed_by_the_worker_is_not_reused(build: t.Any) -> None:
+    async def script(client: HttpCalls, server: ScriptedServer) -> None:
         for _ in range(3):
-            assert await ask(calls) == Answer(200, b'{"a":1}')
+            assert await send_request(client) == Answer(200, b'{"a":1}')
             await anyio.sleep(0.02)
 
-    assert play(build, [CLOSING] * 3, script).opened == 3
+    assert run_script(build, [CLOSING_ANSWER] * 3, script).connection_count == 3
 
 
-@both
-@pytest.mark.parametrize("answer", [None, b"", FINE[:30] + b"", b"no http\r\n\r\n"])
-def test_call_without_a_whole_answer_may_have_been_done(
+@both_clients
+@pytest.mark.parametrize(
+    "answer", [None, b"", OK_ANSWER[:30] + b"", b"no http\r\n\r\n"]
+)
+def test_call_without_a_complete_answer_may_have_been_executed(
     build: t.Any, answer: bytes | None
 ) -> None:
-    async def script(calls: HttpCalls, peer: Peer) -> None:
-        assert (await ask(calls)).failure is CallFailure.NO_ANSWER
-        assert await ask(calls) == Answer(200, b'{"a":1}')
+    async def script(client: HttpCalls, server: ScriptedServer) -> None:
+        assert (await send_request(client)).failure is CallFailure.NO_ANSWER
+        assert await send_request(client) == Answer(200, b'{"a":1}')
 
-    # the rest of a cut answer must not be taken for that of the next call
-    assert play(build, [answer, FINE], script).opened == 2
+    # the rest of a truncated answer must not be taken for the next answer
+    assert run_script(build, [answer, OK_ANSWER], script).connection_count == 2
 
 
-@both
-def test_call_that_cannot_be_sent_was_not_done(build: t.Any) -> None:
-    async def script(calls: HttpCalls, peer: Peer) -> None:
-        nobody = build("127.0.0.1:1")
-        assert (await ask(nobody)).failure is CallFailure.NOT_SENT
+@both_clients
+def test_call_that_cannot_be_sent_is_reported_as_not_sent(build: t.Any) -> None:
+    async def script(client: HttpCalls, server: ScriptedServer) -> None:
+        unreachable = build("127.0.0.1:1")
+        assert (await send_request(unreachable)).failure is CallFailure.NOT_SENT
 
-    assert not play(build, [], script).asked
+    assert not run_script(build, [], script).requests
 
 
-def test_text_of_others_cannot_add_a_header_line() -> None:
-    async def script(calls: HttpCalls, peer: Peer) -> None:
+def test_untrusted_text_cannot_add_a_header_line() -> None:
+    async def script(client: HttpCalls, server: ScriptedServer) -> None:
         for address in ("host:1\r\nX: y", "nowhere", "a:b"):
-            assert (await ask(build_connections(address))).failure is (
+            assert (await send_request(build_connections(address))).failure is (
                 CallFailure.NOT_SENT
             )
-        answer = await calls.call(
+        answer = await client.call(
             "POST",
             "/",
             timeout_s=TIMEOUT_S,
@@ -160,16 +164,16 @@
         )
         assert answer.failure is CallFailure.NOT_SENT
 
-    assert not play(build_connections, [], script).asked
+    assert not run_script(build_connections, [], script).requests
 
 
-@both
-def test_calls_at_once_use_a_bounded_number_of_connections(build: t.Any) -> None:
-    async def script(calls: HttpCalls, peer: Peer) -> None:
+@both_clients
+def test_concurrent_calls_use_a_bounded_number_of_connections(build: t.Any) -> None:
+    async def script(client: HttpCalls, server: ScriptedServer) -> None:
         answers = []
 
         async def call() -> None:
-            answers.append(await ask(calls))
+            answers.append(await send_request(client))
 
         for _ in range(2):
             async with anyio.create_task_group() as group:
@@ -177,24 +181,31 @@
                     group.start_soon(call)
         assert answers == [Answer(200, b'{"a":1}')] * 40
 
-    assert play(build, [FINE] * 40, script).opened <= 4
+    assert run_script(build, [OK_ANSWER] * 40, script).connection_count <= 4
 
 
-def test_silence_drops_idle_connections() -> None:
-    async def script(calls: HttpCalls, peer: Peer) -> None:
+def test_timeout_closes_idle_connections() -> None:
+    async def script(client: HttpCalls, server: ScriptedServer) -> None:
         async with anyio.create_task_group() as group:
-            group.start_soon(ask, calls)
-            group.start_soon(ask, calls)
-        assert (await ask(calls)).failure is CallFailure.NO_ANSWER
-        assert await ask(calls) == Answer(200, b'{"a":1}')
-
-    assert play(build_connections, [FINE, FINE, None, FINE], script).opened == 3
+            group.start_soon(send_request, client)
+            group.start_soon(send_request, client)
+        assert (await send_request(client)).failure is CallFailure.NO_ANSWER
+        assert await send_request(client) == Answer(200, b'{"a":1}')
+
+    assert (
+        run_script(
+            build_connections, [OK_ANSWER, OK_ANSWER, None, OK_ANSWER], script
+        ).connection_count
+        == 3
+    )
 
 
-def test_cancelled_call_leaves_no_answer_behind() -> None:
-    async def script(calls: HttpCalls, peer: Peer) -> None:
+def test_answer_to_a_cancelled_call_is_not_taken_for_the_next() -> None:
+    async def script(client: HttpCalls, server: ScriptedServer) -> None:
         with anyio.move_on_after(0.05):
-            await ask(calls)
-        assert await ask(calls) == Answer(200, b'{"a":1}')
+            await send_request(client)
+        assert await send_request(client) == Answer(200, b'{"a":1}')
 
-    assert play(build_connections, [None, FINE], script).opened == 2
+    assert (
+        run_script(build_connections, [None, OK_ANSWER], script).connection_count == 2
+    )
