--- a/src/onyxgap/platform/store.py
+++ b/src/onyxgap/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store behind the product's :class:`~onyxgap.jobs.store.Store`."""
+"""Client of the platform's store; implements :class:`~onyxgap.jobs.store.Store`."""
 
 import base64
 import typing as t
@@ -24,12 +24,12 @@
 from .http import HttpClient
 
 READ_TIMEOUT_S = 1.0
-"""A read takes 4 ms, and 240 ms when the store is 60 times slower."""
+"""A read takes 4 ms, or 240 ms when the store is 60 times slower."""
 FOLLOW_MARGIN_S = 0.7
-"""Beyond the wait that was asked for; a channel that went silent ends by it."""
+"""Time allowed beyond the requested wait; detects a connection that is dead."""
 PAGE_ROWS = 500
-"""Most rows that the store gives in one answer."""
-_REFUSED = (429, 503)
+"""Maximum rows that the store returns in one answer."""
+_REJECTED_STATUSES = (429, 503)
 
 
 def _encode_id(row_id: RowId) -> dict[str, t.Any]:
@@ -45,7 +45,7 @@
 
 
 def encode_batch(batch: Batch) -> dict[str, t.Any]:
-    """Encode a transaction's body.
+    """Encode the request body of a transaction.
 
     :param batch: the writes and their conditions.
     """
@@ -63,11 +63,11 @@
 
 
 def decode_outcome(answer: Answer) -> WriteOutcome:
-    """Read what became of a transaction.
+    """Decode the outcome of a transaction.
 
-    :param answer: the store's answer, or why there is none.
+    :param answer: the store's answer, or the failure of the call.
     """
-    if answer.failure is CallFailure.NOT_SENT or answer.status in _REFUSED:
+    if answer.failure is CallFailure.NOT_SENT or answer.status in _REJECTED_STATUSES:
         return NotApplied(answer.reason or f"status {answer.status}")
     body = answer.read_object()
     try:
@@ -96,10 +96,10 @@
 
 @attrs.define
 class PlatformStore:
-    """Rows of the platform's store over HTTP.
+    """Reads, writes and follows rows of the platform's store over HTTP.
 
-    :param http: client of its address.
-    :param calls: calls made so far, by kind.
+    :param http: HTTP client of the store.
+    :param calls: number of calls made so far, by kind.
     """
 
     http: HttpClient
@@ -111,7 +111,7 @@
     async def write(
         self, batch: Batch, timeout_s: float = WRITE_TIMEOUT_S
     ) -> WriteOutcome:
-        """Try a batch once; never raises for a failed call."""
+        """Write a batch, without retries; never raises for a failed call."""
         self._count("write")
         answer = await self.http.call(
             "POST", "/rows-tx", encode_batch(batch), timeout_s=timeout_s
@@ -127,7 +127,7 @@
     async def read(self, table: str, part: str, key: str = "") -> Page:
         """Read a partition, or one row of it.
 
-        :raises PlatformUnavailableError: when no answer came.
+        :raises PlatformUnavailableError: without a valid answer.
         """
         query: dict[str, str | int] = {"table": table, "part": part}
         if key:
@@ -146,13 +146,14 @@
             if more:
                 query["from"] = page.rows[-1].row_id.key + "\0"
         assert first is not None
-        # a feed that starts at the first page's version repeats later changes
+        # The version of the first page: a change feed that starts there also has the
+        # changes made while later pages were read.
         return Page(tuple(rows), first.version, first.now_ms)
 
     async def list_parts(self, table: str) -> tuple[str, ...]:
         """List the partitions of a table.
 
-        :raises PlatformUnavailableError: when no answer came.
+        :raises PlatformUnavailableError: when a call does not return status 200.
         """
         parts: list[str] = []
         while True:
@@ -173,8 +174,8 @@
     async def follow(self, table: str, after: int, wait_s: float) -> Page:
         """Wait for changes of a table after a version.
 
-        :raises HistoryLostError: when the store no longer has the changes.
-        :raises PlatformUnavailableError: when no answer came.
+        :raises HistoryLostError: when the store no longer keeps these changes.
+        :raises PlatformUnavailableError: without a valid answer.
         """
         self._count("follow")
         page, _ = await self._get(
