--- a/src/onyxgap/adapters/call_link.py
+++ b/src/onyxgap/adapters/call_link.py
@@ -1,7 +1,8 @@
-"""Calls passed on between nodes: a TCP connection each, a frame each way.
+"""Forwards API calls between nodes over TCP, with one connection per call.
 
-Connections are not kept: they are needed while the store fails, and one that went
-silent without a reset would cost its first call the whole time that its caller has.
+The call and its answer are one frame each. Connections are not reused. Calls are
+forwarded while the store fails, and a call over a connection that broke without a
+reset would use up all the time that its caller has.
 """
 
 import typing as t
@@ -26,16 +27,16 @@
 from ..wire.frames import encode_frame
 from ..wire.peer import ttypes
 
-CONNECT_S = 0.3
-"""Nodes are milliseconds apart; one that is dead or cut off does not answer."""
-MOST_CALLS = 32
-"""Calls under way in each direction; a body has 256 KB at most, a node 64 MB."""
-READ_S = 3.0
-"""Time in which a call must have arrived; its caller waits no longer."""
-BUSY = "too many calls are passed on"
+CONNECT_TIMEOUT_S = 0.3
+"""Nodes are milliseconds apart; a dead or isolated node does not answer."""
+MAX_CONCURRENT_CALLS = 32
+"""Applies to each direction; a body has at most 256 KB, and a node has 64 MB."""
+SERVE_TIMEOUT_S = 3.0
+"""Time to receive a call and answer it; its caller does not wait longer."""
+BUSY_REASON = "too many calls are passed on"
 
 _LOG = structlog.get_logger()
-Answer = t.Callable[[PassedCall], t.Awaitable[PassedAnswer]]
+CallHandler = t.Callable[[PassedCall], t.Awaitable[PassedAnswer]]
 
 
 def encode_call(sender: str, call: PassedCall) -> bytes:
@@ -56,18 +57,18 @@
 
 
 def decode_call(frame: ttypes.Frame) -> PassedCall:
-    """Read the call of a frame.
+    """Decode the call of a frame.
 
     :param frame: the frame.
-    :raises FrameError: when it holds none.
+    :raises FrameError: when the frame has no call, or one of an unknown kind.
     """
     raw = frame.call
     if raw is None:
-        raise FrameError("no call in the frame")
+        raise FrameError("frame has no call")
     try:
         kind = CallKind(raw.kind)
     except ValueError:
-        raise FrameError(f"unknown call {raw.kind!r}") from None
+        raise FrameError(f"unknown kind of call: {raw.kind!r}") from None
     return PassedCall(
         kind, raw.job_id, raw.tenant, raw.queue, raw.service_name, raw.submission
     )
@@ -86,14 +87,14 @@
 
 
 def decode_answer(frame: ttypes.Frame) -> PassedAnswer:
-    """Read the answer of a frame.
+    """Decode the answer of a frame.
 
     :param frame: the frame.
-    :raises FrameError: when it holds none.
+    :raises FrameError: when the frame has no answer.
     """
     raw = frame.answer
     if raw is None:
-        raise FrameError("no answer in the frame")
+        raise FrameError("frame has no answer")
     return PassedAnswer(raw.outcome, raw.reason, raw.retry_after_s)
 
 
@@ -103,7 +104,7 @@
     return decode_frame(await buffered.receive_exactly(decode_length(prefix)))
 
 
-_BROKEN = (
+_CONNECTION_ERRORS = (
     OSError,
     anyio.IncompleteRead,
     anyio.EndOfStream,
@@ -114,9 +115,9 @@
 
 @attrs.define(eq=False)
 class StreamCallLink:
-    """Other nodes, reached by a connection for each call.
+    """Sends calls to other nodes and answers theirs, over one connection per call.
 
-    :param listen: address of this node for the calls of others.
+    :param listen: address on which this node accepts forwarded calls.
     """
 
     listen: Address
@@ -124,14 +125,14 @@
     _answering: int = 0
 
     def get_address(self) -> str:
-        """Give the address under which others pass calls on."""
+        """Return the address to which other nodes forward calls."""
         return str(self.listen)
 
     async def ask(
         self, address: str, call: PassedCall, timeout_s: float
     ) -> PassedAnswer | PassFailure:
-        """Pass a call on to one node; never raises for a failed call."""
-        if self._sending >= MOST_CALLS:
+        """Forward a call to one node; never raises for a failed call."""
+        if self._sending >= MAX_CONCURRENT_CALLS:
             return PassFailure.NOT_SENT
         self._sending += 1
         try:
@@ -143,7 +144,7 @@
         self, target: Address, call: PassedCall, timeout_s: float
     ) -> PassedAnswer | PassFailure:
         try:
-            with anyio.fail_after(min(CONNECT_S, timeout_s)):
+            with anyio.fail_after(min(CONNECT_TIMEOUT_S, timeout_s)):
                 stream = await anyio.connect_tcp(target.host, target.port)
         except (OSError, TimeoutError):
             return PassFailure.NOT_SENT
@@ -152,14 +153,14 @@
                 with anyio.fail_after(timeout_s):
                     await stream.send(encode_call(self.get_address(), call))
                     return decode_answer(await _receive_frame(stream))
-        except (*_BROKEN, TimeoutError):
+        except (*_CONNECTION_ERRORS, TimeoutError):
             return PassFailure.NO_ANSWER
         except FrameError as error:
-            _LOG.warning("bad answer to a passed call", reason=str(error))
+            _LOG.warning("invalid answer to a forwarded call", reason=str(error))
             return PassFailure.NO_ANSWER
 
-    async def run(self, answer: Answer) -> None:
-        """Answer the calls of others until cancelled."""
+    async def run(self, answer: CallHandler) -> None:
+        """Answer calls of other nodes until cancelled."""
         listener = await anyio.create_tcp_listener(
             local_host=self.listen.host, local_port=self.listen.port
         )
@@ -170,22 +171,22 @@
 
         await listener.serve(serve)
 
-    async def _serve(self, stream: anyio.abc.SocketStream, answer: Answer) -> None:
-        if self._answering >= MOST_CALLS:
-            busy = encode_answer(self.get_address(), PassedAnswer(UNABLE, BUSY))
-            with anyio.move_on_after(READ_S):
+    async def _serve(self, stream: anyio.abc.SocketStream, answer: CallHandler) -> None:
+        if self._answering >= MAX_CONCURRENT_CALLS:
+            busy = encode_answer(self.get_address(), PassedAnswer(UNABLE, BUSY_REASON))
+            with anyio.move_on_after(SERVE_TIMEOUT_S):
                 await self._send(stream, busy)
             return
         self._answering += 1
         try:
-            with anyio.move_on_after(READ_S):
+            with anyio.move_on_after(SERVE_TIMEOUT_S):
                 call = decode_call(await _receive_frame(stream))
                 answered = await answer(call)
                 frame = encode_answer(self.get_address(), answered)
                 await self._send(stream, frame)
         except FrameError as error:
-            _LOG.warning("bad passed call", reason=str(error))
-        except _BROKEN:
+            _LOG.warning("invalid forwarded call", reason=str(error))
+        except _CONNECTION_ERRORS:
             return
         finally:
             self._answering -= 1
@@ -194,6 +195,6 @@
     async def _send(stream: anyio.abc.SocketStream, frame: bytes) -> None:
         try:
             await stream.send(frame)
-        except _BROKEN:
-            # the other node asks a third one, as after any lost answer
+        except _CONNECTION_ERRORS:
+            # the calling node tries another node, as after any lost answer
             return
--- a/src/onyxgap/adapters/notice_link.py
+++ b/src/onyxgap/adapters/notice_link.py
@@ -1,4 +1,4 @@
-"""Notices between nodes as datagrams, one frame each."""
+"""Sends and receives notices between nodes as UDP datagrams, one frame each."""
 
 import typing as t
 
@@ -22,11 +22,11 @@
 from ..wire.peer import ttypes
 
 MAX_QUEUED = 500
-"""Notices that wait to be sent; some 200 jobs a second arrive at a busy node."""
-REOPEN_S = 1.0
-"""Pause before a socket that failed is opened again."""
+"""Limit of notices waiting to be sent; a busy node gets about 200 jobs a second."""
+REOPEN_DELAY_S = 1.0
+"""Delay before a failed socket is opened again."""
 
-# field of the frame, and what it lists; fields of both sides have the same names
+# field of the frame and type of its items; notices and items have the same field names
 _FIELDS: t.Mapping[type[Notice], tuple[str, t.Callable[..., t.Any]]] = {
     JobNotice: ("jobs", ttypes.JobNotice),
     HandOver: ("hand_overs", ttypes.HandOver),
@@ -52,10 +52,10 @@
 
 
 def decode_notices(datagram: bytes) -> list[Notice]:
-    """Read the notices of a datagram.
+    """Decode the notices of a datagram.
 
-    :param datagram: its bytes.
-    :raises FrameError: when they are no frame.
+    :param datagram: bytes of the datagram.
+    :raises FrameError: when they are not a valid frame.
     """
     frame = decode_frame(datagram[LENGTH_BYTES:])
     notices: list[Notice] = [
@@ -79,22 +79,23 @@
 
 @attrs.define(eq=False)
 class DatagramPeers:
-    """Other nodes, reached by datagrams.
+    """Exchanges notices with other nodes by datagrams.
 
-    :param listen: address of this node.
+    :param listen: address on which this node receives notices.
+    :param dropped: number of notices that were dropped before they were sent.
     """
 
     listen: Address
     dropped: int = 0
     _queue: list[tuple[Address, bytes]] = attrs.field(factory=list)
-    _filled: anyio.Event = attrs.field(factory=anyio.Event)
+    _queue_filled: anyio.Event = attrs.field(factory=anyio.Event)
 
     def get_address(self) -> str:
-        """Give the address under which others reach this node."""
+        """Return the address to which other nodes send notices."""
         return str(self.listen)
 
     def send(self, address: str, notice: Notice) -> None:
-        """Send a notice to one node; never waits, never fails."""
+        """Queue a notice to one node; never blocks or raises."""
         try:
             target = parse_address(address)
         except ValueError as error:
@@ -104,21 +105,21 @@
             self.dropped += 1
             return
         self._queue.append((target, encode_notice(self.get_address(), notice)))
-        self._filled.set()
+        self._queue_filled.set()
 
     async def run(self, on_notice: OnNotice) -> None:
-        """Take in notices and send those that wait, until cancelled.
+        """Receive notices and send queued ones until cancelled.
 
-        A socket that fails is opened anew: the process goes on without notices.
+        A failed socket is opened again; meanwhile the process runs without notices.
         """
         while True:
             try:
-                await self._exchange(on_notice)
+                await self._run_socket(on_notice)
             except* (OSError, anyio.BrokenResourceError) as errors:
-                _LOG.warning("notices lost", reason=repr(errors.exceptions[0]))
-            await anyio.sleep(REOPEN_S)
+                _LOG.warning("notice socket failed", reason=repr(errors.exceptions[0]))
+            await anyio.sleep(REOPEN_DELAY_S)
 
-    async def _exchange(self, on_notice: OnNotice) -> None:
+    async def _run_socket(self, on_notice: OnNotice) -> None:
         async with (
             await anyio.create_udp_socket(
                 local_host=self.listen.host, local_port=self.listen.port
@@ -127,27 +128,27 @@
         ):
             group.start_soon(self._send_forever, socket)
             async for datagram, _ in socket:
-                self._take(datagram, on_notice)
+                self._handle_datagram(datagram, on_notice)
 
     @staticmethod
-    def _take(datagram: bytes, on_notice: OnNotice) -> None:
+    def _handle_datagram(datagram: bytes, on_notice: OnNotice) -> None:
         try:
             notices = decode_notices(datagram)
         except FrameError as error:
-            _LOG.warning("datagram skipped", reason=str(error))
+            _LOG.warning("invalid datagram ignored", reason=str(error))
             return
         for notice in notices:
             on_notice(notice)
 
     async def _send_forever(self, socket: anyio.abc.UDPSocket) -> None:
         while True:
-            await self._filled.wait()
-            self._filled = anyio.Event()
+            await self._queue_filled.wait()
+            self._queue_filled = anyio.Event()
             waiting, self._queue = self._queue, []
             for target, datagram in waiting:
                 try:
                     await socket.sendto(datagram, target.host, target.port)
                 except OSError as error:
-                    # what a lost notice costs is time only
+                    # a lost notice only causes a delay
                     self.dropped += 1
                     _LOG.info("notice not sent", address=str(target), reason=str(error))
--- a/src/onyxgap/adapters/peer_link.py
+++ b/src/onyxgap/adapters/peer_link.py
@@ -1,4 +1,4 @@
-"""TCP connections that carry frames between the system's processes."""
+"""TCP transport of frames between control and entry processes."""
 
 import typing as t
 
@@ -19,27 +19,31 @@
 from ..wire.peer import ttypes
 
 MAX_QUEUED_FRAMES = 10_000
-RECONNECT_S = 0.3
-_LIST_FIELDS = ("asks", "grants", "refusals", "releases", "held")
+RECONNECT_DELAY_S = 0.3
+_SLOT_FIELDS = ("asks", "grants", "refusals", "releases", "held")
 _LOG = structlog.get_logger()
 
 OnFrame = t.Callable[[ttypes.Frame], None]
 
 
-def _is_list_only(frame: ttypes.Frame) -> bool:
+def _has_only_slot_messages(frame: ttypes.Frame) -> bool:
     return not (frame.heartbeat or frame.pull or frame.page or frame.probe)
 
 
 def merge_frames(frames: t.Sequence[ttypes.Frame]) -> list[ttypes.Frame]:
-    """Merge consecutive frames of slot messages into one.
+    """Merge consecutive frames that have only slot messages into one.
 
-    :param frames: frames of one sender in order.
+    :param frames: frames of one sender, in order.
     """
     merged: list[ttypes.Frame] = []
     for frame in frames:
-        if merged and _is_list_only(frame) and _is_list_only(merged[-1]):
+        if (
+            merged
+            and _has_only_slot_messages(frame)
+            and _has_only_slot_messages(merged[-1])
+        ):
             _extend_frame(merged[-1], frame)
-        elif _is_list_only(frame):
+        elif _has_only_slot_messages(frame):
             copy = ttypes.Frame(sender=frame.sender)
             _extend_frame(copy, frame)
             merged.append(copy)
@@ -49,7 +53,7 @@
 
 
 def _extend_frame(frame: ttypes.Frame, more: ttypes.Frame) -> None:
-    for field in _LIST_FIELDS:
+    for field in _SLOT_FIELDS:
         items = getattr(more, field)
         if items:
             setattr(frame, field, [*(getattr(frame, field) or ()), *items])
@@ -63,13 +67,15 @@
 
 @attrs.define
 class PeerHub:
-    """Listens for peers and keeps one outgoing connection to each.
+    """Accepts connections of peers and keeps one outgoing connection to each.
 
-    Frames that cannot be sent are dropped: every message is repeated, or its
-    loss is noticed, by the layer above.
+    Frames that cannot be sent are dropped: the layer above repeats every message or
+    detects its loss.
 
     :param listen: address to listen on.
-    :param on_frame: called for each frame that arrives.
+    :param on_frame: called for each received frame.
+    :param bytes_out: bytes sent so far.
+    :param bytes_in: bytes received so far.
     """
 
     listen: Address
@@ -84,7 +90,7 @@
         *,
         task_status: anyio.abc.TaskStatus[Address] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serve until cancelled; reports the bound address when started."""
+        """Accept connections until cancelled; reports the bound address first."""
         listener = await anyio.create_tcp_listener(
             local_host=self.listen.host, local_port=self.listen.port
         )
@@ -111,7 +117,9 @@
                 return
 
     def send(self, address: str, frame: ttypes.Frame) -> None:
-        """Queue a frame for an address; drops it when the queue is full.
+        """Queue a frame for a peer.
+
+        Drops the frame when the queue is full or :meth:`run` has not started.
 
         :param address: ``host:port`` of the peer.
         :param frame: the frame.
@@ -136,12 +144,14 @@
             except (OSError, TimeoutError):
                 outbox.frames.clear()
                 outbox.wake = anyio.Event()
-                await anyio.sleep(RECONNECT_S)
+                await anyio.sleep(RECONNECT_DELAY_S)
                 continue
             async with stream:
-                await self._pump(stream, outbox)
+                await self._send_queued(stream, outbox)
 
-    async def _pump(self, stream: anyio.abc.SocketStream, outbox: _Outbox) -> None:
+    async def _send_queued(
+        self, stream: anyio.abc.SocketStream, outbox: _Outbox
+    ) -> None:
         while True:
             await outbox.wake.wait()
             frames, outbox.frames = outbox.frames, []
--- a/src/onyxgap/adapters/slot_link.py
+++ b/src/onyxgap/adapters/slot_link.py
@@ -1,4 +1,4 @@
-"""Turns slot messages into frames and frames back into calls of the broker."""
+"""Encodes slot messages as frames; dispatches received ones to the slot broker."""
 
 import attrs
 
@@ -16,9 +16,9 @@
 
 @attrs.define
 class NodeSlotLink:
-    """Sends a broker's messages through its node's peer connections.
+    """Sends slot messages of a broker over the peer connections of its node.
 
-    :param node: the node.
+    :param node: node that the broker belongs to.
     """
 
     node: Node
@@ -28,12 +28,12 @@
         if address is not None:
             self.node.peers.send(address, frame)
 
-    def _frame(self) -> ttypes.Frame:
+    def _create_frame(self) -> ttypes.Frame:
         return ttypes.Frame(sender=self.node.name)
 
     def send_ask(self, owner: str, message: AskMessage) -> None:
-        """Ask the owner for a slot."""
-        frame = self._frame()
+        """Send a slot request to the owner."""
+        frame = self._create_frame()
         frame.asks = [
             ttypes.SlotAsk(
                 ask=message.ask,
@@ -49,8 +49,8 @@
     def send_release(
         self, owner: str, ask: int, outcome: Outcome, took_s: float
     ) -> None:
-        """Release a slot or withdraw an ask."""
-        frame = self._frame()
+        """Release a slot or cancel a slot request."""
+        frame = self._create_frame()
         took_us = int(took_s * 1_000_000)
         frame.releases = [
             ttypes.SlotRelease(ask=ask, outcome=int(outcome), took_us=took_us)
@@ -58,8 +58,8 @@
         self._send(owner, frame)
 
     def send_held(self, owner: str, slot: Slot) -> None:
-        """Tell a new owner of a slot that is in use."""
-        frame = self._frame()
+        """Report a slot in use to a new owner."""
+        frame = self._create_frame()
         frame.held = [
             ttypes.SlotHeld(
                 ask=slot.ask, service_name=slot.service, vm=slot.vm, team=slot.team
@@ -68,16 +68,16 @@
         self._send(owner, frame)
 
     def send_decision(self, decision: Decision) -> None:
-        """Tell an entry what became of its ask."""
-        frame = self._frame()
-        ask = decision.ask.ask
+        """Send an entry the decision on its slot request."""
+        frame = self._create_frame()
+        ask_id = decision.ask.ask
         if isinstance(decision, Granted):
-            frame.grants = [ttypes.SlotGrant(ask=ask, vm=decision.vm)]
+            frame.grants = [ttypes.SlotGrant(ask=ask_id, vm=decision.vm)]
         else:
             retry_after_ms = int(decision.retry_after_s * 1000)
             frame.refusals = [
                 ttypes.SlotRefusal(
-                    ask=ask,
+                    ask=ask_id,
                     reason=decision.reason.value,
                     retry_after_ms=retry_after_ms,
                 )
@@ -85,16 +85,16 @@
         self._send(decision.ask.member, frame)
 
     def send_probe(self, owner: str) -> None:
-        """Ask for a sign of life."""
-        frame = self._frame()
+        """Send a liveness probe to the owner."""
+        frame = self._create_frame()
         frame.probe = True
         self._send(owner, frame)
 
 
 def feed_broker(broker: SlotBroker, frame: ttypes.Frame, now: float) -> None:
-    """Hand the slot messages of a frame to the broker.
+    """Dispatch the slot messages of a frame to the broker.
 
-    :param broker: this entry's broker.
+    :param broker: broker of this entry process.
     :param frame: the frame.
     :param now: monotonic seconds.
     """
@@ -107,14 +107,14 @@
         outcome = Outcome(release.outcome)
         took_s = release.took_us / 1_000_000
         broker.handle_release(sender, release.ask, outcome, took_s, now)
-    for ask in frame.asks or ():
+    for request in frame.asks or ():
         message = AskMessage(
-            ask=ask.ask,
-            service=ask.service_name,
-            rank=min(max(ask.priority, 0), 2),
-            remaining_s=ask.remaining_ms / 1000,
-            team=ask.team,
-            avoid=tuple(ask.avoid or ()),
+            ask=request.ask,
+            service=request.service_name,
+            rank=min(max(request.priority, 0), 2),
+            remaining_s=request.remaining_ms / 1000,
+            team=request.team,
+            avoid=tuple(request.avoid or ()),
         )
         broker.handle_ask(sender, message, now)
     for grant in frame.grants or ():
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between processes: whatever arrives, the reader stays up."""
+"""Tests of the frame codec: invalid input raises only FrameError."""
 
 import contextlib
 
@@ -35,33 +35,33 @@
 
 @SETTINGS
 @hypothesis.given(FRAMES)
-def test_frame_survives_the_wire(frame: ttypes.Frame) -> None:
-    body = encode_frame(frame)
-    assert decode_length(body[:4]) == len(body) - 4
-    assert decode_frame(body[4:]) == frame
+def test_decoded_frame_equals_the_encoded_one(frame: ttypes.Frame) -> None:
+    encoded = encode_frame(frame)
+    assert decode_length(encoded[:4]) == len(encoded) - 4
+    assert decode_frame(encoded[4:]) == frame
 
 
 @SETTINGS
 @hypothesis.given(strategies.binary(max_size=200))
-def test_nonsense_is_a_frame_error(body: bytes) -> None:
+def test_random_bytes_raise_only_frame_error(body: bytes) -> None:
     with contextlib.suppress(FrameError):
         decode_frame(body)
 
 
 @SETTINGS
 @hypothesis.given(FRAMES, strategies.data())
-def test_damaged_frame_is_a_frame_error(
+def test_corrupt_frame_raises_only_frame_error(
     frame: ttypes.Frame, data: strategies.DataObject
 ) -> None:
     body = bytearray(encode_frame(frame)[4:])
-    place = data.draw(strategies.integers(0, len(body) - 1))
-    body[place] = data.draw(strategies.integers(0, 255))
+    index = data.draw(strategies.integers(0, len(body) - 1))
+    body[index] = data.draw(strategies.integers(0, 255))
     with contextlib.suppress(FrameError):
         decode_frame(bytes(body))
 
 
 @pytest.mark.parametrize("length", [0, MAX_FRAME_BYTES + 1, 2**32 - 1])
-def test_length_out_of_range_is_refused(length: int) -> None:
+def test_length_out_of_range_is_rejected(length: int) -> None:
     with pytest.raises(FrameError):
         decode_length(length.to_bytes(4, "big"))
 
