--- a/src/onyxgap/defaults.py
+++ b/src/onyxgap/defaults.py
@@ -1,32 +1,33 @@
-"""Constants of the system, each with its unit; settings may override some."""
+"""Default limits, intervals and time-outs; settings can override some of them."""
 
-# journal and configuration
+# Journal and configuration
 POLL_INTERVAL_S = 1.0
 SNAPSHOT_EVERY_ENTRIES = 500
 JOURNAL_PAGE_ROWS = 200
 JOURNAL_RETAINED_ENTRIES = 600
 INLINE_LIMIT_BYTES = 32_768
 
-# membership
+# Membership
 MEMBER_ROW_INTERVAL_S = 2.0
 MEMBER_LAPSE_S = 6.0
+# an owner with a pending slot request that sent nothing for this long is probed
 PROBE_AFTER_S = 0.2
 PROBE_TIMEOUT_S = 0.4
 FRESHNESS_LIMIT_S = 2.0
 
 MEMBER_FORGET_S = 600.0
 
-# retention
+# Retention
 CLAIM_RETENTION_S = 172_800.0
 SWEEP_PAGE_ROWS = 200
 SWEEP_INTERVAL_S = 5.0
 
-# platform calls
+# Platform calls
 PLATFORM_TIMEOUT_S = 2.0
 PLATFORM_BACKOFF_MIN_S = 0.1
 PLATFORM_BACKOFF_MAX_S = 5.0
 
-# requests
+# Requests
 MAX_BODY_BYTES = 1_048_576
 MAX_ANSWER_BYTES = 8_388_608
 MAX_HEADER_BYTES = 16_384
@@ -34,7 +35,9 @@
 DEFAULT_DEADLINE_MS = 3_800
 MAX_QUEUE_PER_SLOT = 16
 URGENT_RESERVE_SHARE = 0.015
+# urgent grants in a row, while others wait, before a lower priority goes first
 STARVATION_INTERVAL = 16
+# token bucket for retries: tokens added by each first attempt, and its capacity
 RETRY_BUDGET_SHARE = 0.1
 RETRY_BUDGET_BURST = 5.0
 MAX_ATTEMPTS = 3
@@ -49,7 +52,7 @@
 CLAIM_ANSWER_BYTES = 4_096
 MIN_RETRY_AFTER_S = 1
 
-# fleet
+# Fleet
 PASS_INTERVAL_S = 1.0
 TASK_LIST_INTERVAL_S = 3.0
 STALE_VIEW_LIMIT_S = 15.0
@@ -61,10 +64,10 @@
 QUARANTINE_DISTINCT_JOBS = 3
 UNRUNNABLE_DISTINCT_WORKERS = 3
 UNRUNNABLE_LOSSES_IN_A_ROW = 5
-"""Attempts of a task that were lost with their VMs, none done between them, after which
-the task is held to crash its VMs. Of 19,000 VMs 1,490 fail or restart in a day, so that
-a task of ten minutes loses one by chance in 1,800 attempts."""
+"""Number of attempts of a task that are lost with their VMs, with no successful attempt
+between them, before the task is assumed to crash its VMs. Of 19,000 VMs, 1,490 fail or
+restart in a day, so a task of ten minutes loses one attempt in 1,800 by chance."""
 
-# graceful stop
+# Graceful shutdown
 STOP_GRACE_S = 30.0
 LAME_DUCK_S = 1.0
--- a/src/onyxgap/documents.py
+++ b/src/onyxgap/documents.py
@@ -1,4 +1,7 @@
-"""Checked reading of JSON documents into attrs classes, every fault at once."""
+"""Validates JSON documents and converts them into attrs classes.
+
+All faults of a document are reported together.
+"""
 
 import enum
 import json
@@ -15,7 +18,7 @@
 T = t.TypeVar("T")
 
 
-def _require_exact(kind: type) -> t.Callable[[object, type], object]:
+def _build_exact_type_hook(kind: type) -> t.Callable[[object, type], object]:
     def structure(value: object, _: type) -> object:
         if type(value) is not kind:
             raise ValueError(f"expected {kind.__name__}, not {json.dumps(value)[:40]}")
@@ -40,23 +43,25 @@
 
 
 def build_converter(forbid_extra_keys: bool = True) -> cattrs.Converter:
-    """Build a converter that is strict on types.
+    """Build a cattrs converter that does not coerce types.
+
+    An integer is accepted where a float is declared.
 
-    :param forbid_extra_keys: whether unknown keys are refused.
+    :param forbid_extra_keys: whether unknown keys are rejected.
     """
     converter = cattrs.Converter(
         forbid_extra_keys=forbid_extra_keys, omit_if_default=True
     )
     for kind in (int, str, bool):
-        converter.register_structure_hook(kind, _require_exact(kind))
+        converter.register_structure_hook(kind, _build_exact_type_hook(kind))
     converter.register_structure_hook(float, _structure_float)
     converter.register_structure_hook_func(
         lambda kind: isinstance(kind, type) and issubclass(kind, enum.Enum),
         _structure_enum,
     )
 
-    def build_structure(kind: type) -> t.Callable[[object, type], object]:
-        structure: t.Any = make_dict_structure_fn(
+    def build_object_hook(kind: type) -> t.Callable[[object, type], object]:
+        structure_fields: t.Any = make_dict_structure_fn(
             kind, converter, _cattrs_forbid_extra_keys=forbid_extra_keys
         )
 
@@ -64,20 +69,20 @@
             # cattrs would accept a string for a class whose fields all have defaults
             if not isinstance(value, dict):
                 raise ValueError(f"expected an object, not {json.dumps(value)[:40]}")
-            return structure(value, kind)
+            return structure_fields(value, kind)
 
         return structure_object
 
-    converter.register_structure_hook_factory(attrs.has, build_structure)
+    converter.register_structure_hook_factory(attrs.has, build_object_hook)
     return converter
 
 
 CONVERTER = build_converter()
 LENIENT_CONVERTER = build_converter(forbid_extra_keys=False)
-"""For documents of other programs, which may add fields; ignores unknown keys."""
+"""Ignores unknown keys, for documents of other programs, which may add fields."""
 
 
-def _describe_error(error: BaseException, _: object) -> str:
+def _format_error(error: BaseException, _: object) -> str:
     if isinstance(error, KeyError):
         return f"required key {error} is missing"
     return cattrs.v.format_exception(error, None) if not error.args else str(error)
@@ -85,7 +90,7 @@
 
 def _list_faults(error: BaseException) -> list[Fault]:
     faults = []
-    for line in cattrs.transform_error(error, format_exception=_describe_error):
+    for line in cattrs.transform_error(error, format_exception=_format_error):
         reason, _, path = line.rpartition(" @ ")
         faults.append(Fault(path or "$", reason or line))
     return faults
@@ -94,12 +99,12 @@
 def structure_document(
     value: object, kind: type[T], converter: cattrs.Converter = CONVERTER
 ) -> T:
-    """Turn decoded JSON into an attrs instance.
+    """Convert decoded JSON into an attrs instance.
 
     :param value: decoded JSON.
     :param kind: the attrs class.
-    :param converter: the converter that structures the value.
-    :raises DocumentError: with every fault and its JSON path.
+    :param converter: the cattrs converter to use.
+    :raises DocumentError: listing every fault with its JSON path.
     """
     if not isinstance(value, dict):
         raise DocumentError([Fault("$", "expected an object")])
@@ -112,9 +117,9 @@
 def decode_document(value: bytes, kind: type[T]) -> T:
     """Decode a JSON document into an attrs instance, ignoring unknown keys.
 
-    :param value: the JSON text.
+    :param value: the encoded JSON document.
     :param kind: the attrs class.
-    :raises DocumentError: when it is not JSON or does not match the class.
+    :raises DocumentError: if it is not valid JSON or does not match the class.
     """
     try:
         raw = orjson.loads(value)
@@ -126,8 +131,8 @@
 def parse_json(text: str | bytes) -> object:
     """Decode JSON text.
 
-    :param text: the document.
-    :raises DocumentError: when it is not JSON.
+    :param text: the JSON text.
+    :raises DocumentError: if it is not valid JSON.
     """
     try:
         return t.cast(object, json.loads(text))
@@ -136,10 +141,10 @@
 
 
 def in_range(low: float, high: float) -> t.Callable[[object, t.Any, t.Any], None]:
-    """Build an attrs validator for an inclusive numeric range.
+    """Build an attrs validator for an inclusive numeric range; ``None`` passes.
 
-    :param low: least allowed value.
-    :param high: greatest allowed value.
+    :param low: lowest allowed value.
+    :param high: highest allowed value.
     """
 
     def validate(_: object, attribute: t.Any, value: t.Any) -> None:
@@ -150,7 +155,7 @@
 
 
 def find_duplicates(path: str, names: t.Iterable[str]) -> list[Fault]:
-    """List a fault for each name that stands a second time.
+    """List a fault for each name that occurs earlier in the array.
 
     :param path: JSON path of the array.
     :param names: the names in array order.
--- a/src/onyxgap/exceptions.py
+++ b/src/onyxgap/exceptions.py
@@ -1,20 +1,20 @@
-"""The exception tree of the package; every error derives from OnyxgapError."""
+"""Shared exceptions of the package; all of them derive from OnyxgapError."""
 
 import typing as t
 
 import attrs
 
 MALFORMED_ERRORS = (LookupError, TypeError, ValueError, AttributeError, ArithmeticError)
-"""Errors that converting a decoded document of an unexpected shape may raise."""
+"""Errors that can be raised when a decoded document has an unexpected structure."""
 
 
 class OnyxgapError(Exception):
-    """Base class of all errors raised on purpose."""
+    """Base class of the errors that this package raises deliberately."""
 
 
 @attrs.frozen
 class Fault:
-    """One fault of a checked document.
+    """A validation error in a document.
 
     :param path: JSON path of the value, such as ``$.pools[2].size``.
     :param reason: what is wrong with it.
@@ -28,7 +28,7 @@
 
 
 class DocumentError(OnyxgapError):
-    """A manifest or settings file has faults; all of them are listed.
+    """A document, such as a manifest or settings file, is invalid.
 
     :param faults: every fault found, in document order.
     """
@@ -39,10 +39,10 @@
 
 
 class ConflictError(OnyxgapError):
-    """Another writer was first.
+    """Another writer's version was accepted first.
 
-    :param version: the version now in force.
-    :param author: who wrote it.
+    :param version: the current version.
+    :param author: who wrote that version.
     """
 
     def __init__(self, version: int, author: str) -> None:
@@ -52,11 +52,11 @@
 
 
 class PlatformUnavailableError(OnyxgapError):
-    """The platform gave no answer; a read may be repeated."""
+    """The platform did not answer; a read may be retried."""
 
 
 class UnknownOutcomeError(OnyxgapError):
-    """A write was sent and could not be settled by reading it back."""
+    """A write was sent, and reading back did not show whether it was applied."""
 
 
 class FrameError(OnyxgapError):
@@ -64,8 +64,8 @@
 
 
 class HistoryLostError(OnyxgapError):
-    """The store dropped the changes that were asked for; read everything again."""
+    """The store no longer has the requested changes; the table must be read in full."""
 
 
 class OwnershipLostError(OnyxgapError):
-    """Another process owns the shard now; nothing more may be decided here."""
+    """Another process owns the shard; this one must make no more decisions for it."""
--- a/src/onyxgap/manifest.py
+++ b/src/onyxgap/manifest.py
@@ -1,4 +1,4 @@
-"""The manifest: pools, services, tasks and teams as pipelines declare them."""
+"""Defines, validates and splits the manifest, the declared state of a deployment."""
 
 import enum
 import typing as t
@@ -18,7 +18,7 @@
 
 
 class Priority(enum.Enum):
-    """How urgent a job is; urgent work goes first."""
+    """Scheduling priority of a job or task; urgent work goes first."""
 
     URGENT = "urgent"
     NORMAL = "normal"
@@ -26,7 +26,7 @@
 
     @property
     def rank(self) -> int:
-        """Order of service, 0 first."""
+        """Numeric priority; 0 is the most urgent."""
         return _RANKS[self]
 
 
@@ -35,11 +35,11 @@
 
 @attrs.frozen
 class Weights:
-    """What the operator weighs in a plan; higher means dearer.
+    """Cost weights of a plan; a higher weight makes the item more expensive.
 
-    :param moves: price of one relocated VM or task.
-    :param buffer: price of one spare VM held back.
-    :param roll_out: price of one second until a manifest is in force.
+    :param moves: cost of relocating one VM or task.
+    :param buffer: cost of keeping one spare VM.
+    :param roll_out: cost of one second until a manifest takes effect.
     """
 
     moves: float = attrs.field(default=1.0, validator=in_range(0, 1000))
@@ -48,7 +48,7 @@
 
 
 class Resources(t.Protocol):
-    """Anything that states what a VM offers."""
+    """Resources that a VM offers."""
 
     @property
     def cores(self) -> int:
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class Shape:
-    """What a VM must offer.
+    """Minimum resources of a VM.
 
     :param cores: processor cores.
     :param memory_gb: memory in GB.
@@ -77,9 +77,9 @@
     accelerators: int = attrs.field(default=0, validator=in_range(0, 64))
 
     def fits(self, offered: Resources) -> bool:
-        """Tell whether a VM meets this shape.
+        """Tell whether a VM has at least these resources.
 
-        :param offered: the VM.
+        :param offered: resources of the VM.
         """
         return (
             offered.cores >= self.cores
@@ -93,11 +93,11 @@
     """A pool of VMs and its availability budget.
 
     :param name: unique name.
-    :param zones: wanted number of VMs by availability zone.
-    :param max_out: most VMs of the pool that may be unavailable at once
-        by choice; the availability budget.
-    :param slots: requests that one VM runs at once.
-    :param shape: what a VM must offer to join.
+    :param zones: declared number of VMs by availability zone.
+    :param max_out: availability budget: a voluntary disruption must not leave more
+        VMs of the pool than this out of service.
+    :param slots: maximum number of concurrent requests on one VM.
+    :param shape: minimum resources of a VM that joins the pool.
     """
 
     name: str
@@ -108,19 +108,19 @@
 
     @property
     def size(self) -> int:
-        """Wanted number of VMs."""
+        """Declared number of VMs in all zones."""
         return sum(self.zones.values())
 
 
 @attrs.frozen
 class Job:
-    """A kind of request that a service answers.
+    """A type of request that a service answers.
 
-    :param name: unique in its service.
-    :param priority: urgency.
-    :param idempotent: whether running twice equals running once.
-    :param team: the team whose quota it uses, or ``None``.
-    :param deadline_ms: time within which it must be answered.
+    :param name: name, unique within the service.
+    :param priority: scheduling priority.
+    :param idempotent: whether running it twice has the same effect as once.
+    :param team: team whose quota is charged, or ``None``.
+    :param deadline_ms: milliseconds within which it must be answered.
     """
 
     name: str
@@ -138,7 +138,7 @@
 
     :param name: unique name.
     :param pool: name of the pool.
-    :param jobs: kinds of request.
+    :param jobs: types of request.
     """
 
     name: str
@@ -148,17 +148,17 @@
 
 @attrs.frozen
 class Task:
-    """Work placed on a pool's workers, apart from requests.
+    """Work that is placed on the workers of a pool, independent of requests.
 
     :param name: unique name.
     :param pool: name of the pool.
-    :param priority: urgency.
-    :param idempotent: whether it may be run again after a lost attempt.
-    :param team: the team whose quota it uses, or ``None``.
-    :param cores: declared processor need.
-    :param memory_gb: declared memory need.
+    :param priority: scheduling priority.
+    :param idempotent: whether it may be restarted after a lost attempt.
+    :param team: team whose quota is charged, or ``None``.
+    :param cores: processor cores that it requests.
+    :param memory_gb: memory in GB that it requests.
     :param run_time_s: declared run time in seconds.
-    :param count: how many of it are wanted.
+    :param count: declared number of instances.
     """
 
     name: str
@@ -177,8 +177,9 @@
     """A team and its quotas.
 
     :param name: unique name.
-    :param quotas: most slots in use at once, by service.
-    :param cores: most cores of placed tasks at once, or ``None``.
+    :param quotas: maximum number of slots in use at the same time, by service.
+    :param cores: maximum number of cores of its placed tasks in total, or
+        ``None`` for no limit.
     """
 
     name: str
@@ -188,17 +189,17 @@
 
 @attrs.frozen
 class Manifest:
-    """The wanted state of one deployment.
+    """The declared state of one deployment.
 
-    :param format: version of this document's format.
+    :param format: version of the manifest format.
     :param deployment: name of the deployment.
     :param zones: availability zones that may be used.
     :param pools: pools of VMs.
     :param services: services that callers address.
-    :param tasks: work placed on workers.
-    :param teams: teams with quotas.
-    :param weights: what the operator weighs in a plan.
-    :param maintenance_days: every VM is maintained once in so many days.
+    :param tasks: tasks to place on workers.
+    :param teams: teams and their quotas.
+    :param weights: cost weights of a plan.
+    :param maintenance_days: days within which every VM is maintained once.
     """
 
     format: int = attrs.field(validator=in_range(FORMAT, FORMAT))
@@ -213,10 +214,10 @@
 
 
 def parse_manifest(text: str | bytes) -> Manifest:
-    """Read and check a manifest.
+    """Parse and validate a manifest.
 
     :param text: JSON text.
-    :raises DocumentError: with every fault and its JSON path.
+    :raises DocumentError: listing every fault with its JSON path.
     """
     manifest = structure_document(parse_json(text), Manifest)
     faults = find_faults(manifest)
@@ -226,9 +227,9 @@
 
 
 def find_faults(manifest: Manifest) -> list[Fault]:
-    """List what is wrong across the parts of a well-formed manifest.
+    """List duplicate names, invalid references and other inconsistencies.
 
-    :param manifest: the manifest to check.
+    :param manifest: a manifest whose fields have valid types and ranges.
     """
     checks: tuple[t.Callable[[Manifest], t.Iterable[Fault]], ...] = (
         _check_names,
@@ -250,11 +251,11 @@
 
 
 def _check_pools(manifest: Manifest) -> t.Iterable[Fault]:
-    known = set(manifest.zones)
+    allowed_zones = set(manifest.zones)
     for index, pool in enumerate(manifest.pools):
         path = f"$.pools[{index}]"
         for zone, count in pool.zones.items():
-            if zone not in known:
+            if zone not in allowed_zones:
                 yield Fault(f"{path}.zones.{zone}", "unknown availability zone")
             if count < 0:
                 yield Fault(f"{path}.zones.{zone}", "must not be negative")
@@ -270,9 +271,11 @@
         path = f"$.services[{index}]"
         if service.pool not in pools:
             yield Fault(f"{path}.pool", f"unknown pool {service.pool!r}")
-        for number, job in enumerate(service.jobs):
+        for job_index, job in enumerate(service.jobs):
             if job.team is not None and job.team not in teams:
-                yield Fault(f"{path}.jobs[{number}].team", f"unknown team {job.team!r}")
+                yield Fault(
+                    f"{path}.jobs[{job_index}].team", f"unknown team {job.team!r}"
+                )
 
 
 def _check_tasks(manifest: Manifest) -> t.Iterable[Fault]:
@@ -300,7 +303,7 @@
                 yield Fault(path, "must not be negative")
 
 
-_PARTS: dict[str, type] = {
+_SECTIONS: dict[str, type] = {
     "pools": Pool,
     "services": Service,
     "tasks": Task,
@@ -310,46 +313,46 @@
 
 
 def split_manifest(manifest: Manifest) -> dict[str, t.Any]:
-    """Split a manifest into named chunks, so that a change carries few of them.
+    """Split a manifest into named chunks, so that a change transmits only a few.
 
-    :param manifest: the manifest.
-    :returns: JSON value by chunk name, such as ``pools/ring``.
+    :param manifest: the manifest to split.
+    :returns: JSON values by chunk name, such as ``pools/ring``.
     """
     document = CONVERTER.unstructure(manifest)
     chunks: dict[str, t.Any] = {}
-    for part in _PARTS:
-        for item in document.pop(part, []):
-            chunks[f"{part}/{item['name']}"] = item
+    for section in _SECTIONS:
+        for item in document.pop(section, []):
+            chunks[f"{section}/{item['name']}"] = item
     chunks[HEADER_CHUNK] = document
     return chunks
 
 
 def structure_chunk(name: str, value: object) -> t.Any:
-    """Turn one chunk back into its attrs class; the header stays a mapping.
+    """Convert one chunk to its attrs class; the header chunk stays a mapping.
 
     :param name: chunk name.
-    :param value: its JSON value.
+    :param value: JSON value of the chunk.
     """
-    part = name.partition("/")[0]
-    kind = _PARTS.get(part)
+    section = name.partition("/")[0]
+    kind = _SECTIONS.get(section)
     return value if kind is None else structure_document(value, kind)
 
 
 def join_chunks(chunks: t.Mapping[str, t.Any]) -> Manifest:
     """Rebuild a manifest from structured chunks.
 
-    :param chunks: what :func:`structure_chunk` returned, by name.
+    :param chunks: results of :func:`structure_chunk` by chunk name.
     """
-    parts: dict[str, list[t.Any]] = {part: [] for part in _PARTS}
+    sections: dict[str, list[t.Any]] = {section: [] for section in _SECTIONS}
     for name in sorted(chunks):
-        part = name.partition("/")[0]
-        if part in parts:
-            parts[part].append(chunks[name])
+        section = name.partition("/")[0]
+        if section in sections:
+            sections[section].append(chunks[name])
     header = structure_document({**chunks[HEADER_CHUNK], "pools": []}, Manifest)
     return attrs.evolve(
         header,
-        pools=parts["pools"],
-        services=parts["services"],
-        tasks=parts["tasks"],
-        teams=parts["teams"],
+        pools=sections["pools"],
+        services=sections["services"],
+        tasks=sections["tasks"],
+        teams=sections["teams"],
     )
--- a/src/onyxgap/ports.py
+++ b/src/onyxgap/ports.py
@@ -1,4 +1,4 @@
-"""What the platform gives: its table, object store and list of VMs."""
+"""Interfaces of the platform: its table, object store, VMs and tasks."""
 
 import enum
 import typing as t
@@ -8,7 +8,7 @@
 from .sentinels import Missing
 
 ABSENT = 0
-"""Expected version of a row that must not exist yet."""
+"""Expected version for a row that must not exist."""
 
 
 @attrs.frozen(slots=True)
@@ -17,7 +17,7 @@
 
     :param key: unique key.
     :param value: JSON value.
-    :param version: rises by one with each write; 1 for a new row.
+    :param version: increases by one with each write; 1 for a new row.
     """
 
     key: str
@@ -30,8 +30,9 @@
     """A conditional write.
 
     :param key: row to write.
-    :param value: new JSON value.
-    :param expect: version the row must have, 0 for absent, ``None`` for any.
+    :param value: new JSON value; ``None`` deletes the row.
+    :param expect: version that the row must have; 0 if it must not exist,
+        ``None`` for an unconditional write.
     """
 
     key: str
@@ -40,7 +41,7 @@
 
 
 class WriteOutcome(enum.Enum):
-    """What became of a transaction."""
+    """Outcome of a transaction."""
 
     APPLIED = "applied"
     NOT_APPLIED = "not-applied"
@@ -51,8 +52,8 @@
 class WriteResult:
     """Answer to a transaction.
 
-    :param outcome: what became of it.
-    :param conflicts: keys whose condition failed, when not applied by conflict.
+    :param outcome: whether it was applied.
+    :param conflicts: keys whose condition failed, if that is why it was not applied.
     """
 
     outcome: WriteOutcome
@@ -72,11 +73,11 @@
     """A VM in the platform's list.
 
     :param name: unique name.
-    :param status: status when the list was made.
+    :param status: status at the time of the list.
     :param zone: availability zone.
     :param rack: rack within the zone.
     :param address: ``host:port`` of its worker.
-    :param boots: how often it has been started.
+    :param boots: number of times it was started.
     :param cores: processor cores.
     :param memory_gb: memory in GB.
     :param accelerators: number of accelerators.
@@ -95,9 +96,9 @@
 
 @attrs.frozen(slots=True)
 class VmList:
-    """The platform's lagging list of VMs.
+    """The platform's list of VMs, which lags behind their actual state.
 
-    :param age_s: how long ago it was made, in seconds.
+    :param age_s: age of the list in seconds.
     :param vms: the VMs.
     """
 
@@ -106,7 +107,7 @@
 
 
 class TaskStatus(enum.Enum):
-    """Status of a started task on the platform."""
+    """Status of an attempt at a task on the platform."""
 
     RUNNING = "running"
     DONE = "done"
@@ -117,13 +118,13 @@
 
 @attrs.frozen(slots=True)
 class ListedTask:
-    """An attempt at a task as the platform reports it, with a lag.
+    """An attempt at a task, as in the platform's lagging list.
 
-    :param attempt: unique id of the attempt.
+    :param attempt: unique ID of the attempt.
     :param vm: the VM it was started on.
-    :param status: status when reported.
-    :param memory_gb: highest memory seen.
-    :param cores: mean processor use seen.
+    :param status: status at the time of the report.
+    :param memory_gb: peak memory use in GB.
+    :param cores: mean processor use in cores.
     :param run_time_s: seconds it has run.
     """
 
@@ -144,12 +145,12 @@
 
 @attrs.frozen(slots=True)
 class StartTask:
-    """An order to run a task; repeating an attempt id starts nothing twice.
+    """A request to start an attempt at a task; idempotent by attempt ID.
 
-    :param attempt: unique id of the attempt.
+    :param attempt: unique ID of the attempt.
     :param vm: the VM to run it on.
-    :param cores: processor share.
-    :param memory_gb: memory share.
+    :param cores: processor cores assigned to it.
+    :param memory_gb: memory in GB assigned to it.
     :param run_time_s: declared run time in seconds.
     """
 
@@ -166,71 +167,79 @@
     async def get(self, key: str) -> Row | Missing:
         """Read one row.
 
-        :raises PlatformUnavailableError: when no answer came.
+        :raises PlatformUnavailableError: if the platform does not answer.
         """
 
     async def scan(self, prefix: str, after: str, limit: int) -> list[Row]:
         """Read rows in key order.
 
         :param prefix: common prefix of the keys.
-        :param after: only keys greater than this one.
-        :param limit: most rows to return.
-        :raises PlatformUnavailableError: when no answer came.
+        :param after: return only keys greater than this one.
+        :param limit: maximum number of rows to return.
+        :raises PlatformUnavailableError: if the platform does not answer.
         """
 
     async def transact(self, puts: t.Sequence[Put]) -> WriteResult:
-        """Apply all writes or none of them; never raises for a lost answer."""
+        """Apply all writes or none of them.
+
+        A lost answer is not raised but returned as :attr:`WriteOutcome.UNKNOWN`.
+        """
 
 
 class ObjectStore(t.Protocol):
-    """A store of immutable objects, named by their SHA-256 hash."""
+    """A store of immutable objects, addressed by their SHA-256 hash."""
 
     async def put_object(self, body: bytes) -> str:
         """Store an object and return its hash.
 
-        :raises PlatformUnavailableError: when no answer came; repeat it.
+        :raises PlatformUnavailableError: if the platform does not answer; the call
+            may be retried.
         """
 
     async def get_object(self, digest: str) -> bytes:
-        """Read an object and check it against its hash.
+        """Read an object and verify its hash.
 
-        :raises PlatformUnavailableError: when no answer came or it is damaged.
+        :raises PlatformUnavailableError: if the platform does not answer or the
+            object is corrupt.
         """
 
 
-class Machines(t.Protocol):
+class VmService(t.Protocol):
     """The platform's VMs and the tasks on them."""
 
     async def list_vms(self) -> VmList:
-        """Read the lagging list.
+        """Read the list of VMs, which may lag.
 
-        :raises PlatformUnavailableError: when no answer came.
+        :raises PlatformUnavailableError: if the platform does not answer.
         """
 
     async def act_on_vm(self, vm: str, action: VmAction, action_id: str) -> None:
-        """Start a power action; repeating an action id does nothing more.
+        """Start a power action; idempotent by action ID.
 
-        :raises PlatformUnavailableError: when no answer came; repeat it.
+        :raises PlatformUnavailableError: if the platform does not answer; the call
+            may be retried.
         """
 
     async def list_tasks(self) -> tuple[ListedTask, ...]:
-        """Read the attempts the platform knows.
+        """Read the list of attempts, which may lag.
 
-        :raises PlatformUnavailableError: when no answer came.
+        :raises PlatformUnavailableError: if the platform does not answer.
         """
 
     async def start_task(self, order: StartTask) -> None:
-        """Start an attempt; repeating its id does nothing more.
+        """Start an attempt; idempotent by attempt ID.
 
-        :raises PlatformUnavailableError: when no answer came; repeat it.
+        :raises PlatformUnavailableError: if the platform does not answer; the call
+            may be retried.
         """
 
     async def stop_task(self, attempt: str) -> None:
-        """Stop an attempt, with a checkpoint where it can.
+        """Stop an attempt, with a checkpoint where possible.
 
-        :raises PlatformUnavailableError: when no answer came; repeat it.
+        :raises PlatformUnavailableError: if the platform does not answer; the call
+            may be retried.
         """
 
 
-class Platform(Table, ObjectStore, Machines, t.Protocol):
-    """Everything the platform gives, behind one adapter."""
+class Platform(Table, ObjectStore, VmService, t.Protocol):
+    """All interfaces of the platform, implemented by one adapter."""
--- a/src/onyxgap/settings.py
+++ b/src/onyxgap/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process, read from a checked JSON file."""
+"""Settings of a process, loaded from a JSON file and validated."""
 
 import pathlib
 
@@ -14,10 +14,10 @@
 
 @attrs.frozen
 class Address:
-    """A TCP address by IP number.
+    """A TCP address.
 
-    :param host: IP number.
-    :param port: port; 0 lets the system choose.
+    :param host: IP address.
+    :param port: port; 0 lets the operating system choose.
     """
 
     host: str = "127.0.0.1"
@@ -28,10 +28,10 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read ``host:port``.
+    """Parse ``host:port``.
 
     :param text: the address.
-    :raises ValueError: when the port is not a number.
+    :raises ValueError: if the port is not a number or out of range.
     """
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
@@ -43,14 +43,15 @@
 
     :param member: unique name of the process.
     :param zone: availability zone it runs in.
-    :param platform: address of the platform's service.
-    :param peer: address for other processes of the system.
-    :param http: address for callers, or for metrics and health of a control.
-    :param stop_grace_s: seconds that a planned stop waits for requests.
-    :param lame_duck_s: seconds between failing readiness and closing.
-    :param poll_interval_s: seconds between two reads of the journal.
-    :param drain_grace_s: seconds that a leaving VM may drain.
-    :param log_level: least level that is logged.
+    :param platform: address of the platform API.
+    :param peer: address for connections from other processes of the deployment.
+    :param http: HTTP address: of an entry process for callers, of a control process
+        for metrics and health checks.
+    :param stop_grace_s: seconds that a planned stop waits for running requests.
+    :param lame_duck_s: seconds between reporting not ready and closing the listener.
+    :param poll_interval_s: seconds between two polls of the journal.
+    :param drain_grace_s: seconds that a VM may take to drain.
+    :param log_level: lowest level that is logged.
     """
 
     member: str
@@ -79,10 +80,10 @@
 
 
 def load_settings(path: str | pathlib.Path) -> Settings:
-    """Read and check a settings file.
+    """Load and validate a settings file.
 
-    :param path: the file.
-    :raises DocumentError: with every fault and its JSON path.
+    :param path: path of the file.
+    :raises DocumentError: listing every fault with its JSON path.
     """
     try:
         text = pathlib.Path(path).read_bytes()
