--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Bad manifests and settings: every fault at once, each with its JSON path."""
+"""Validation of manifests and settings: all faults are listed, with JSON paths."""
 
 import json
 import pathlib
@@ -36,14 +36,14 @@
     return t.cast(dict[str, t.Any], json.loads(text))
 
 
-def find_paths(document: object) -> set[str]:
+def collect_fault_paths(document: object) -> set[str]:
     with pytest.raises(DocumentError) as caught:
         parse_manifest(json.dumps(document))
     return {fault.path for fault in caught.value.faults}
 
 
-def test_examples_have_no_faults() -> None:
-    # a checkout that was compiled holds a folder of byte code, too
+def test_examples_are_valid() -> None:
+    # compiling the examples leaves a folder of byte code beside them
     folders = [
         path
         for path in EXAMPLES.iterdir()
@@ -56,7 +56,7 @@
             load_settings(path)
 
 
-def test_every_fault_is_listed_at_once() -> None:
+def test_all_inconsistencies_are_listed() -> None:
     document = read_example()
     document["pools"][0]["zones"] = {"nowhere": 2}
     document["pools"][1]["max_out"] = 8
@@ -65,7 +65,7 @@
     document["services"][1]["jobs"][0]["team"] = "none"
     document["tasks"][0]["cores"] = 4096
     document["teams"][0]["quotas"] = {"none": 1}
-    assert find_paths(document) >= {
+    assert collect_fault_paths(document) >= {
         "$.pools[0].zones.nowhere",
         "$.pools[1].max_out",
         "$.pools[3].name",
@@ -76,14 +76,14 @@
     }
 
 
-def test_wrong_types_are_listed_at_once() -> None:
+def test_all_invalid_values_are_listed() -> None:
     document = read_example()
     document["pools"][0]["slots"] = "8"
     document["pools"][1]["slots"] = 0
     document["services"][0]["jobs"][0]["priority"] = "high"
     document["services"][0]["jobs"][1]["idempotent"] = 1
     document["weights"]["moves"] = True
-    paths = find_paths(document)
+    paths = collect_fault_paths(document)
     assert "$.pools[0].slots" in paths
     assert any(path.startswith("$.pools[1]") for path in paths)
     assert "$.services[0].jobs[0].priority" in paths
@@ -96,8 +96,8 @@
     [{"format": 2}, {"poolz": []}, {"pools": None}, {"zones": [1]}],
     ids=lambda change: next(iter(change)),
 )
-def test_bad_top_level_is_refused(change: dict[str, t.Any]) -> None:
-    assert find_paths({**read_example(), **change})
+def test_invalid_top_level_field_is_rejected(change: dict[str, t.Any]) -> None:
+    assert collect_fault_paths({**read_example(), **change})
 
 
 @SETTINGS
@@ -114,7 +114,7 @@
         parse_manifest(text)
 
 
-def test_ten_megabytes_of_nonsense_are_refused() -> None:
+def test_ten_megabytes_of_open_brackets_are_rejected() -> None:
     with pytest.raises(DocumentError):
         parse_manifest("[" * 10_000_000)
 
@@ -128,7 +128,7 @@
         parse_manifest(json.dumps(document))
 
 
-def test_manifest_survives_its_chunks() -> None:
+def test_manifest_round_trips_through_chunks() -> None:
     for name in ("pampa-lance", "leltar-pont"):
         manifest = parse_manifest((EXAMPLES / name / "manifest.json").read_bytes())
         chunks = split_manifest(manifest)
@@ -137,7 +137,7 @@
         assert split_manifest(joined) == chunks
 
 
-def test_check_prints_one_line_a_fault(
+def test_check_prints_one_line_per_fault(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     document = read_example()
@@ -153,7 +153,7 @@
     ]
 
 
-def test_bad_settings_start_nothing(
+def test_invalid_settings_prevent_start(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "entry.json"
