--- a/src/onyxgap/__main__.py
+++ b/src/onyxgap/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line as ``python -m onyxgap``."""
+"""Entry point of ``python -m onyxgap``."""
 
 import sys
 
--- a/src/onyxgap/clocks.py
+++ b/src/onyxgap/clocks.py
@@ -1,4 +1,4 @@
-"""The clocks of a process, behind one object that tests can replace."""
+"""Monotonic, wall and boot clocks of a process, as an object that tests can replace."""
 
 import time
 import typing as t
@@ -10,17 +10,20 @@
     """The clocks that a process reads."""
 
     def read_monotonic(self) -> float:
-        """Read monotonic seconds; no other process's clock compares."""
+        """Read monotonic seconds; not comparable between processes."""
 
     def read_wall(self) -> float:
-        """Read wall-clock seconds, for people and long cycles only."""
+        """Read wall-clock seconds since the epoch.
+
+        Only for times shown to people and for periods of days.
+        """
 
     def read_boot(self) -> float:
         """Read monotonic seconds that also count while the VM is suspended."""
 
 
 class SystemClocks:
-    """Reads the event loop's clock and the wall clock."""
+    """Reads the clocks of the event loop and the operating system."""
 
     def read_monotonic(self) -> float:
         """Read monotonic seconds of the running event loop."""
--- a/src/onyxgap/demo.py
+++ b/src/onyxgap/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a whole deployment on loopback in one process, under faults."""
+"""Demo: runs a complete deployment on loopback in one process and injects faults."""
 
 import collections
 import pathlib
@@ -31,32 +31,33 @@
 from .verdict import Verdict
 
 EXAMPLES = pathlib.Path(__file__).parent.parent.parent / "examples"
-ENTRIES = 4
-CONTROLS = 2
+ENTRY_PROCESSES = 4
+CONTROL_PROCESSES = 2
 BOOT_S = 0.5
 WORK_S = 0.02
-SEND_EVERY_S = 0.05
-CYCLE_S = 36 * 86_400.0
-WAVE_LIMIT_S = 120.0
+SEND_INTERVAL_S = 0.05
+CLOCK_ADVANCE_S = 36 * 86_400.0
+"""Longer than the 35 days between maintenance of the examples: every VM becomes due."""
+WAVE_TIMEOUT_S = 120.0
 OUTAGE_S = 4.0
 POLL_S = 0.2
-SETTLE_LIMIT_S = 30.0
+START_TIMEOUT_S = 30.0
 
 
-class LeapingClocks(SystemClocks):
-    """System clocks whose wall clock can be moved on, to make VMs due."""
+class AdjustableClocks(SystemClocks):
+    """System clocks whose wall clock can be advanced, so that VMs become due."""
 
     def __init__(self) -> None:
-        self.leap_s = 0.0
+        self.offset_s = 0.0
 
     def read_wall(self) -> float:
-        """Read the moved wall clock."""
-        return super().read_wall() + self.leap_s
+        """Read the wall clock with its offset."""
+        return super().read_wall() + self.offset_s
 
 
 @attrs.frozen
-class Told:
-    """What one caller was told; an empty verdict is a broken connection."""
+class CallResult:
+    """Answer that one caller received; its verdict is empty if the connection broke."""
 
     request_id: str
     key: str
@@ -67,42 +68,48 @@
 
 @attrs.define
 class Demo:
-    """A deployment on loopback.
+    """A deployment on loopback, its callers and what they observed.
 
     :param manifest: the example's manifest.
-    :param group: runs everything.
+    :param group: task group of all processes and callers.
+    :param results: answers that the callers received.
+    :param broken: what broke a promise, by name of the promise.
     """
 
     manifest: Manifest
     group: anyio.abc.TaskGroup
     platform: MemoryPlatform
-    platform_at: Address
+    platform_address: Address
     workers: dict[str, Worker]
     stop: anyio.Event = attrs.field(factory=anyio.Event)
-    clocks: LeapingClocks = attrs.field(factory=LeapingClocks)
-    entries: dict[str, Address] = attrs.field(factory=dict)
-    stops: dict[str, anyio.Event] = attrs.field(factory=dict)
-    scopes: dict[str, anyio.CancelScope] = attrs.field(factory=dict)
-    told: list[Told] = attrs.field(factory=list)
+    clocks: AdjustableClocks = attrs.field(factory=AdjustableClocks)
+    entry_addresses: dict[str, Address] = attrs.field(factory=dict)
+    stop_events: dict[str, anyio.Event] = attrs.field(factory=dict)
+    cancel_scopes: dict[str, anyio.CancelScope] = attrs.field(factory=dict)
+    results: list[CallResult] = attrs.field(factory=list)
     broken: dict[str, list[str]] = attrs.field(
         factory=lambda: collections.defaultdict(list)
     )
     sent: int = 0
 
-    # members
+    # control and entry processes
 
     async def start_member(self, name: str, role: str) -> None:
-        """Start an entry or control on free ports."""
+        """Start a control process or an entry process on free ports.
+
+        :param name: name of the member.
+        :param role: ``control`` or ``entry``.
+        """
         settings = Settings(
             member=name,
             zone=self.manifest.zones[0],
-            platform=self.platform_at,
+            platform=self.platform_address,
             lame_duck_s=0.5,
         )
-        self.stops[name] = anyio.Event()
+        self.stop_events[name] = anyio.Event()
         address = await self.group.start(self._run_member, settings, role)
         if role == "entry":
-            self.entries[name] = address
+            self.entry_addresses[name] = address
 
     async def _run_member(
         self,
@@ -111,9 +118,9 @@
         *,
         task_status: anyio.abc.TaskStatus[t.Any],
     ) -> None:
-        stop = self.stops[settings.member]
+        stop = self.stop_events[settings.member]
         with anyio.CancelScope() as scope:
-            self.scopes[settings.member] = scope
+            self.cancel_scopes[settings.member] = scope
             if role == "entry":
                 await run_entry(settings, stop, task_status=task_status)
             else:
@@ -122,23 +129,23 @@
                 )
 
     def kill(self, name: str) -> None:
-        """End a member at once."""
-        self.entries.pop(name, None)
-        self.scopes[name].cancel()
+        """Cancel a member without a planned stop."""
+        self.entry_addresses.pop(name, None)
+        self.cancel_scopes[name].cancel()
 
     # callers
 
     async def send_load(self) -> None:
-        """Send a browse and a sale in turn until cancelled."""
+        """Send requests to all services in turn until cancelled."""
         async with httpcore.AsyncConnectionPool() as pool:
             while True:
                 self.sent += 1
                 self.group.start_soon(self._send_one, pool, self.sent)
-                await anyio.sleep(SEND_EVERY_S)
+                await anyio.sleep(SEND_INTERVAL_S)
 
     async def _send_one(self, pool: httpcore.AsyncConnectionPool, number: int) -> None:
-        names = sorted(self.entries)
-        address = self.entries[names[number % len(names)]]
+        names = sorted(self.entry_addresses)
+        address = self.entry_addresses[names[number % len(names)]]
         service = self.manifest.services[number % len(self.manifest.services)]
         job = service.jobs[number // len(self.manifest.services) % len(service.jobs)]
         key = "" if job.idempotent else f"{job.name}-{number}"
@@ -148,32 +155,34 @@
         try:
             answer = await pool.request("POST", url, headers=headers, content=body)
         except (httpcore.NetworkError, httpcore.ProtocolError):
-            self.told.append(Told("", key, 0, "", b""))
+            self.results.append(CallResult("", key, 0, "", b""))
             return
         found = {
             name.decode().lower(): value.decode() for name, value in answer.headers
         }
-        told = Told(
+        result = CallResult(
             found.get(REQUEST_ID_HEADER.lower(), ""),
             key,
             answer.status,
             found.get(VERDICT_HEADER.lower(), ""),
             answer.content,
         )
-        self.told.append(told)
-        if told.verdict == Verdict.RAN.value and not told.body.endswith(b": " + body):
-            self.broken["whole-answer"].append(told.request_id)
+        self.results.append(result)
+        if result.verdict == Verdict.RAN.value and not result.body.endswith(
+            b": " + body
+        ):
+            self.broken["whole-answer"].append(result.request_id)
 
-    # what really happened
+    # checks of the promises
 
     def watch_budget(self, pools: dict[str, str]) -> None:
-        """Count the VMs that are down at each power action.
+        """Check the availability budget of the pool at each power action.
 
         :param pools: pool by VM.
         """
         limits = {pool.name: pool.max_out for pool in self.manifest.pools}
 
-        def watch(vm: str, before: t.Any, action_id: str) -> None:
+        def check_action(vm: str, before: t.Any, action_id: str) -> None:
             pool = pools[vm]
             out = sum(
                 self.platform.vms[name].status.value != "live"
@@ -185,49 +194,53 @@
             if self.workers[vm].running:
                 self.broken["graceful"].append(action_id)
 
-        self.platform.on_action = watch
+        self.platform.on_action = check_action
 
     def check_calls(self) -> None:
-        """Compare what callers were told with what the workers ran."""
+        """Compare the verdicts that callers received with what the workers ran."""
         ran: collections.Counter[str] = collections.Counter()
         for worker in self.workers.values():
             ran.update(worker.ran)
-        for told in self.told:
-            if told.key and ran[told.key] > 1:
-                self.broken["at-most-once"].append(told.key)
+        for result in self.results:
+            if result.key and ran[result.key] > 1:
+                self.broken["at-most-once"].append(result.key)
             if (
-                told.verdict == Verdict.NOT_RUN.value
-                and ran[told.key or told.request_id]
+                result.verdict == Verdict.NOT_RUN.value
+                and ran[result.key or result.request_id]
             ):
-                self.broken["not-run"].append(told.request_id)
+                self.broken["not-run"].append(result.request_id)
 
     async def read_state(self) -> FleetState:
-        """Read the agreed state."""
+        """Read the replicated state."""
         return await load_state(self.platform)
 
 
-async def wait_until(check: t.Callable[[], t.Awaitable[bool]], limit_s: float) -> bool:
-    """Wait until something holds.
+async def wait_until(
+    check: t.Callable[[], t.Awaitable[bool]], timeout_s: float
+) -> bool:
+    """Wait until a condition holds.
 
-    :param check: tells whether it holds.
-    :param limit_s: longest wait, in seconds.
+    :param check: returns whether it holds.
+    :param timeout_s: time-out, in seconds.
+    :returns: whether it held before the time-out.
     """
-    with anyio.move_on_after(limit_s):
+    with anyio.move_on_after(timeout_s):
         while not await check():
             await anyio.sleep(POLL_S)
         return True
     return False
 
 
-def _say(text: str) -> None:
+def _print_line(text: str) -> None:
     print(text, flush=True)
 
 
 async def run_demo(example: str) -> int:
-    """Run the demo of one example.
+    """Run the demo with one example.
 
     :param example: name of the example's folder.
-    :returns: 0 when every promise was kept, else 1.
+    :returns: exit status: 0 when every promise was kept and the maintenance wave
+        completed, else 1.
     """
     manifest, fleet = load_example(EXAMPLES / example)
     async with anyio.create_task_group() as group:
@@ -238,9 +251,9 @@
             fleet[name] = attrs.evolve(fleet[name], address=str(address))
         started = await group.start(_run_platform, fleet, stop)
         demo = Demo(manifest, group, started[1], started[0], workers, stop)
-        kept = await _play(demo)
+        promises_kept = await _run_scenario(demo)
         group.cancel_scope.cancel()
-    return 0 if kept else 1
+    return 0 if promises_kept else 1
 
 
 async def _run_platform(
@@ -249,54 +262,58 @@
     await run_platform(Address(), fleet, stop, boot_s=BOOT_S, task_status=task_status)
 
 
-async def _play(demo: Demo) -> bool:
-    for number in range(1, ENTRIES + 1):
+async def _run_scenario(demo: Demo) -> bool:
+    for number in range(1, ENTRY_PROCESSES + 1):
         await demo.start_member(f"entry-{number}", "entry")
-    for number in range(1, CONTROLS + 1):
+    for number in range(1, CONTROL_PROCESSES + 1):
         await demo.start_member(f"control-{number}", "control")
     version = await apply_manifest(demo.platform, demo.manifest, "demo")
-    _say(f"{demo.manifest.deployment}: version {version} accepted")
-    if not await wait_until(lambda: _is_in_line(demo), SETTLE_LIMIT_S):
-        _say("the fleet did not come into line")
+    _print_line(f"{demo.manifest.deployment}: version {version} accepted")
+    if not await wait_until(lambda: _is_reconciled(demo), START_TIMEOUT_S):
+        _print_line("the pools did not reach their declared sizes in time")
         return False
     state = await demo.read_state()
-    _say(f"{len(state.vms)} VMs serve in {len(demo.manifest.pools)} pools")
+    _print_line(f"{len(state.vms)} VMs in service in {len(demo.manifest.pools)} pools")
     demo.watch_budget({name: record.pool for name, record in state.vms.items()})
     demo.group.start_soon(demo.send_load)
-    waved = await _play_faults(demo)
+    wave_completed = await _inject_faults(demo)
     demo.check_calls()
-    return _print_promises(demo, waved)
+    return _print_promises(demo, wave_completed)
 
 
-async def _is_in_line(demo: Demo) -> bool:
+async def _is_reconciled(demo: Demo) -> bool:
     pools = summarize_pools(await demo.read_state())
     return bool(pools) and all(pool.serving == pool.wanted for pool in pools)
 
 
-async def _play_faults(demo: Demo) -> bool:
+async def _inject_faults(demo: Demo) -> bool:
     await anyio.sleep(1)
-    _say("36 days pass: every VM is due for maintenance")
-    demo.clocks.leap_s = CYCLE_S
+    _print_line("the wall clock advances by 36 days: every VM is due for maintenance")
+    demo.clocks.offset_s = CLOCK_ADVANCE_S
     await anyio.sleep(4)
-    _say("control-1 and entry-2 are killed")
+    _print_line("control-1 and entry-2 are killed")
     demo.kill("control-1")
     demo.kill("entry-2")
     await anyio.sleep(4)
-    _say(f"the platform is out for {OUTAGE_S:.0f} s")
+    _print_line(f"the platform is unavailable for {OUTAGE_S:.0f} s")
     demo.platform.faults = Faults(down=True)
     await anyio.sleep(OUTAGE_S)
     demo.platform.faults = Faults()
-    _say("the platform is back; entry-3 is stopped as planned")
-    demo.entries.pop("entry-3")
-    demo.stops["entry-3"].set()
-    waved = await wait_until(lambda: _is_maintained(demo), WAVE_LIMIT_S)
-    _say("the wave is over" if waved else "the wave did not end")
-    return waved
+    _print_line("the platform is available again; planned stop of entry-3")
+    demo.entry_addresses.pop("entry-3")
+    demo.stop_events["entry-3"].set()
+    wave_completed = await wait_until(lambda: _is_maintained(demo), WAVE_TIMEOUT_S)
+    _print_line(
+        "the maintenance wave completed"
+        if wave_completed
+        else "the maintenance wave did not complete in time"
+    )
+    return wave_completed
 
 
 async def _is_maintained(demo: Demo) -> bool:
     state = await demo.read_state()
-    limit = demo.clocks.read_wall() - CYCLE_S / 2
+    limit = demo.clocks.read_wall() - CLOCK_ADVANCE_S / 2
     return all(
         record.maintained_at > limit and record.state is VmState.SERVING
         for record in state.vms.values()
@@ -304,21 +321,23 @@
 
 
 _PROMISES = {
-    "budget": "every pool's availability budget held through the wave",
-    "whole-answer": "every answer was whole and the caller's own",
-    "not-run": "what was said not to have run did not run",
-    "at-most-once": "no sale ran twice",
-    "graceful": "no VM was restarted with a request in flight",
+    "budget": "no pool exceeded its availability budget during the maintenance wave",
+    "whole-answer": "every answer was complete and belonged to its request",
+    "not-run": "no request with the verdict not-run had run",
+    "at-most-once": "no request with an idempotency key ran twice",
+    "graceful": "no VM was restarted while it ran a request",
 }
 
 
-def _print_promises(demo: Demo, waved: bool) -> bool:
-    verdicts = collections.Counter(told.verdict or "cut off" for told in demo.told)
+def _print_promises(demo: Demo, wave_completed: bool) -> bool:
+    verdicts = collections.Counter(
+        result.verdict or "connection broken" for result in demo.results
+    )
     counts = ", ".join(f"{count} {name}" for name, count in sorted(verdicts.items()))
-    _say(f"{len(demo.told)} requests answered: {counts}")
+    _print_line(f"{len(demo.results)} requests: {counts}")
     for promise, text in _PROMISES.items():
         broken = demo.broken.get(promise, [])
-        _say(
+        _print_line(
             f"  {'BROKEN' if broken else 'kept':7}{promise:14}{text} {broken[:3] or ''}"
         )
-    return waved and not any(demo.broken.values())
+    return wave_completed and not any(demo.broken.values())
--- a/src/onyxgap/logs.py
+++ b/src/onyxgap/logs.py
@@ -1,4 +1,4 @@
-"""JSON-line logs: on standard error, or bounded on standard output."""
+"""Logs as JSON lines: on standard error, or rate-limited on standard output."""
 
 import datetime
 import logging
@@ -20,10 +20,10 @@
 
 
 def configure_logs(level: str, **bound: str) -> None:
-    """Set structlog up to write one JSON object a line.
+    """Configure structlog to write one JSON object per line to standard error.
 
-    :param level: least level that is written.
-    :param bound: fields of every line, such as the member's name.
+    :param level: lowest level that is written.
+    :param bound: fields added to every line, such as the member's name.
     """
     structlog.configure(
         processors=[
@@ -40,14 +40,15 @@
 
 
 DROPPED_EVENT = "log lines dropped"
-"""Event of the line that tells how many lines before it were dropped."""
+"""Event of the line that reports how many preceding lines were dropped."""
 LINES_PER_S = 300.0
-"""Sustained rate: a busy owner's lines of a second, but for those of a flood."""
+"""Sustained rate: what a busy owner logs in a second, apart from floods of lines."""
 BURST_LINES = 800.0
-"""Further lines in a burst; between two busy seconds a node writes far fewer."""
+"""Additional lines in a burst. Between two busy seconds a node writes far fewer."""
 ROUTINE_SHARE = 0.75
-"""Part of the rate and of the burst that lines of routine may use: claims, losses and
-refusals are few, and tell what a flood of the others can't."""
+"""Part of the rate and of the burst that routine events may use. The rest is kept for
+claims, losses and rejections, which are few and carry information that a flood of
+routine lines does not."""
 ROUTINE_EVENTS = frozenset(
     {
         "call passed on",
@@ -59,17 +60,19 @@
         "waiting jobs counted",
     }
 )
-"""Events that a busy node logs by the hundred a second."""
-PENDING_BYTES = 65_536
-"""Most that waits for a reader that is slow; more is dropped and counted."""
+"""Events that a busy node logs hundreds of times a second."""
+MAX_PENDING_BYTES = 65_536
+"""While more than this waits for a slow reader, lines are dropped and counted."""
 
 
 @attrs.define
 class BoundedLines:
-    """Writes lines without ever waiting; drops and counts what is too much.
+    """Writes lines without blocking; drops and counts those beyond the limits.
 
     :param fd: file descriptor, set to non-blocking.
-    :param read_clock: monotonic seconds.
+    :param read_clock: returns monotonic seconds.
+    :param dropped: lines dropped since the last line that was written.
+    :param dropped_total: lines dropped since the start.
     """
 
     fd: int
@@ -78,8 +81,8 @@
     dropped_total: int = 0
     _tokens: float = BURST_LINES
     _refilled_at: float = 0.0
-    _routine: float = BURST_LINES * ROUTINE_SHARE
-    _routine_at: float = 0.0
+    _routine_tokens: float = BURST_LINES * ROUTINE_SHARE
+    _routine_refilled_at: float = 0.0
     _pending: bytes = b""
 
     def msg(self, line: bytes) -> None:
@@ -88,13 +91,13 @@
         self._tokens += (now - self._refilled_at) * LINES_PER_S
         self._tokens = min(self._tokens, BURST_LINES)
         self._refilled_at = now
-        if self._tokens < 1 or len(self._pending) > PENDING_BYTES:
+        if self._tokens < 1 or len(self._pending) > MAX_PENDING_BYTES:
             self.dropped += 1
             self.dropped_total += 1
             return
         self._tokens -= 1
         if self.dropped:
-            self._write(self._note_dropped() + b"\n")
+            self._write(self._build_dropped_line() + b"\n")
             self.dropped = 0
         self._write(line + b"\n")
 
@@ -103,9 +106,9 @@
     def bound_routine(
         self, logger: t.Any, method: str, event: structlog.typing.EventDict
     ) -> structlog.typing.EventDict:
-        """Drop a line of routine that is beyond the share of such lines.
+        """Drop a routine event that exceeds the share of such events.
 
-        Stands first among the processors, so that a dropped line costs nothing more.
+        It is the first processor, so that the others do no work for a dropped line.
 
         :param logger: not used.
         :param method: not used.
@@ -114,25 +117,30 @@
         """
         if event.get("event") in ROUTINE_EVENTS:
             now = self.read_clock()
-            self._routine += (now - self._routine_at) * LINES_PER_S * ROUTINE_SHARE
-            self._routine = min(self._routine, BURST_LINES * ROUTINE_SHARE)
-            self._routine_at = now
-            if self._routine < 1:
+            self._routine_tokens += (
+                (now - self._routine_refilled_at) * LINES_PER_S * ROUTINE_SHARE
+            )
+            self._routine_tokens = min(
+                self._routine_tokens, BURST_LINES * ROUTINE_SHARE
+            )
+            self._routine_refilled_at = now
+            if self._routine_tokens < 1:
                 self.dropped += 1
                 self.dropped_total += 1
                 raise structlog.DropEvent
-            self._routine -= 1
+            self._routine_tokens -= 1
         return event
 
-    def _note_dropped(self) -> bytes:
-        # made by hand: the line that calls for it has passed the processors already
-        note = {
+    def _build_dropped_line(self) -> bytes:
+        # built without structlog: the line being written has already passed the
+        # processors
+        line = {
             "event": DROPPED_EVENT,
             "level": "warning",
             "count": self.dropped,
             "timestamp": datetime.datetime.now(datetime.UTC),
         }
-        return orjson.dumps(note, option=orjson.OPT_UTC_Z)
+        return orjson.dumps(line, option=orjson.OPT_UTC_Z)
 
     def _write(self, data: bytes) -> None:
         self._pending += data
@@ -141,17 +149,17 @@
         except BlockingIOError:
             return
         except OSError:
-            # nobody reads any more; the process must go on
+            # the reader has closed its end; the process must go on
             written = len(self._pending)
         self._pending = self._pending[written:]
 
 
 def configure_bounded_logs(level: str, **bound: str) -> BoundedLines:
-    """Set structlog up to write bounded JSON lines to standard output.
+    """Configure structlog to write rate-limited JSON lines to standard output.
 
-    :param level: least level that is written.
-    :param bound: fields of every line.
-    :returns: the writer, which counts what it dropped.
+    :param level: lowest level that is written.
+    :param bound: fields added to every line.
+    :returns: the writer, which counts the lines it dropped.
     """
     os.set_blocking(sys.stdout.fileno(), False)
     lines = BoundedLines(sys.stdout.fileno())
--- a/src/onyxgap/metrics.py
+++ b/src/onyxgap/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a process: hdrhistogram for delays, counters for verdicts."""
+"""Metrics of a process: response time histograms, counters by verdict and gauges."""
 
 import collections
 import typing as t
@@ -13,23 +13,23 @@
 from prometheus_client.metrics_core import Metric
 from prometheus_client.registry import Collector
 
-LOWEST_US = 1
-HIGHEST_US = 3_600_000_000
-DIGITS = 2
+MIN_DELAY_US = 1
+MAX_DELAY_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 2
 PERCENTILES = (50.0, 99.0, 99.9)
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_S = 1_000_000
 
 
 def build_histogram() -> HdrHistogram:
-    """Build a histogram of microseconds."""
-    return HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    """Build an empty histogram of delays in microseconds."""
+    return HdrHistogram(MIN_DELAY_US, MAX_DELAY_US, SIGNIFICANT_DIGITS)
 
 
 @attrs.define(eq=False)
 class Metrics(Collector):
-    """Counts answers and their delays.
+    """Counts finished requests and records their response times.
 
-    :param gauges: functions that read present values, by metric name.
+    :param gauges: functions that return current values, by metric name.
     """
 
     gauges: dict[str, t.Callable[[], float]] = attrs.field(factory=dict)
@@ -46,18 +46,18 @@
         """Count one finished request.
 
         :param verdict: its verdict.
-        :param reason: why no target answered, or empty.
+        :param reason: reason why no target answered, or empty.
         :param service: its service, or empty.
-        :param took_s: seconds until the answer.
+        :param took_s: response time, in seconds.
         """
         self.answers[verdict, reason] += 1
         if service not in self.delays:
             self.delays[service] = build_histogram()
-        micros = min(max(int(took_s * MICROSECONDS), LOWEST_US), HIGHEST_US)
+        micros = min(max(int(took_s * MICROSECONDS_PER_S), MIN_DELAY_US), MAX_DELAY_US)
         self.delays[service].record_value(micros)
 
     def collect(self) -> t.Iterable[Metric]:
-        """Yield the metrics in the library's terms."""
+        """Yield the metric families for the Prometheus registry."""
         answers = CounterMetricFamily(
             "onyxgap_answers", "Finished requests", labels=("verdict", "reason")
         )
@@ -69,7 +69,7 @@
         )
         for service, histogram in sorted(self.delays.items()):
             count = histogram.get_total_count()
-            total = histogram.get_mean_value() * count / MICROSECONDS
+            total = histogram.get_mean_value() * count / MICROSECONDS_PER_S
             delays.add_metric((service,), count, total)
         yield delays
         yield from self._collect_histograms()
@@ -84,16 +84,18 @@
                 labels=("service", "quantile"),
             )
             for percentile in PERCENTILES:
-                value = histogram.get_value_at_percentile(percentile) / MICROSECONDS
+                value = (
+                    histogram.get_value_at_percentile(percentile) / MICROSECONDS_PER_S
+                )
                 family.add_metric((service, f"{percentile / 100:g}"), value)
             yield family
 
     def render(self) -> bytes:
-        """Render the usual text format."""
+        """Render the metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def summarize(self) -> dict[str, t.Any]:
-        """Sum the metrics up as JSON, with percentiles in milliseconds."""
+        """Summarize the metrics as a JSON object, with percentiles in milliseconds."""
         return {
             "answers": {
                 "/".join(filter(None, key)): count
--- a/src/onyxgap/operations.py
+++ b/src/onyxgap/operations.py
@@ -1,4 +1,4 @@
-"""What operators' commands do, apart from printing."""
+"""Operations behind the operators' commands, without their output."""
 
 import random
 import time
@@ -20,11 +20,11 @@
 from .shared.state import FleetState
 
 APPLY_ATTEMPTS = 50
-_SHOWN_FIELDS = ("vm", "pool", "purpose", "action", "reason", "task", "outcome")
+_DESCRIBED_FIELDS = ("vm", "pool", "purpose", "action", "reason", "task", "outcome")
 
 
 async def load_state(platform: Platform) -> FleetState:
-    """Read the newest state from the platform's store.
+    """Load the replicated state: the newest snapshot and all later journal entries.
 
     :param platform: the platform.
     :raises PlatformUnavailableError: when the store does not answer.
@@ -43,7 +43,7 @@
     """Read the audit trail: the newest entries of the journal, oldest first.
 
     :param platform: the platform.
-    :param limit: most entries.
+    :param limit: maximum number of entries.
     :raises PlatformUnavailableError: when the store does not answer.
     """
     journal = Journal(platform)
@@ -59,11 +59,11 @@
 def diff_manifest(
     state: FleetState, manifest: Manifest
 ) -> tuple[dict[str, t.Any], list[str]]:
-    """Find what a new manifest changes.
+    """Compare a new manifest with the current one.
 
-    :param state: the state in force.
+    :param state: the replicated state.
     :param manifest: the new manifest.
-    :returns: changed chunks by name, and the names of removed ones.
+    :returns: changed and added chunks by name, and the names of removed ones.
     """
     wanted = split_manifest(manifest)
     changed = {
@@ -79,19 +79,20 @@
     if_version: int | None = None,
     rng: random.Random | None = None,
 ) -> int:
-    """Have a manifest accepted; it is in force once it stands in the journal.
+    """Append a manifest to the journal, which makes it the current one.
 
-    Without ``if_version`` the version read at the start is the condition, so
-    that two operators who race do not overwrite each other unseen.
+    Without ``if_version`` the version read at the start must still be the current one
+    when the entry is appended. Otherwise two operators who apply at the same time could
+    overwrite each other's manifest without notice.
 
     :param platform: the platform.
-    :param manifest: the checked manifest.
-    :param author: who applies it.
-    :param if_version: version that must be in force.
-    :param rng: generator for the writer's token.
-    :returns: the accepted version; the present one when nothing changes.
-    :raises ConflictError: when another version is in force.
-    :raises UnknownOutcomeError: when the outcome could not be settled.
+    :param manifest: the validated manifest.
+    :param author: name of the operator who applies it.
+    :param if_version: version that must be the current one.
+    :param rng: generator of the token that identifies the entry of this writer.
+    :returns: the accepted version; the current one when nothing changes.
+    :raises ConflictError: when another version is the current one.
+    :raises UnknownOutcomeError: when the outcome of the write remains unknown.
     """
     journal = Journal(platform)
     rng = rng or random.SystemRandom()
@@ -115,14 +116,17 @@
         )
         if await journal.append(entry):
             return state.version + 1
-    raise OnyxgapError("the journal is too busy; try again")
+    raise OnyxgapError(
+        "manifest not applied: other writers kept appending to the journal; try again"
+    )
 
 
 @attrs.frozen
 class MemberStatus:
-    """How far one process is.
+    """Role, address and replication progress of one process.
 
-    :param behind: journal entries it has not folded yet.
+    :param sequence: sequence of the last journal entry that it has applied.
+    :param behind: number of journal entries that it has not applied yet.
     """
 
     name: str
@@ -135,10 +139,10 @@
 
 
 async def list_members(platform: Platform, sequence: int) -> list[MemberStatus]:
-    """List the processes that have a row, and how far they are.
+    """List the processes that have a member row, with their replication progress.
 
     :param platform: the platform.
-    :param sequence: sequence to compare with.
+    :param sequence: sequence of the journal entry that ``behind`` is relative to.
     """
     rows = await platform.scan(MEMBER_PREFIX, MEMBER_PREFIX, 1000)
     return [
@@ -156,10 +160,10 @@
 
 
 async def list_lagging(platform: Platform, sequence: int) -> list[MemberStatus]:
-    """List the entries that have not yet acknowledged a sequence.
+    """List the entry processes that have not yet applied the journal up to a sequence.
 
     :param platform: the platform.
-    :param sequence: the sequence.
+    :param sequence: sequence of the journal entry.
     """
     members = await list_members(platform, sequence)
     return [item for item in members if item.role == ENTRY_ROLE and item.behind]
@@ -167,7 +171,13 @@
 
 @attrs.frozen
 class PoolStatus:
-    """How one pool stands against the manifest."""
+    """Declared and actual state of one pool.
+
+    :param wanted: number of VMs that the manifest declares.
+    :param out: number of declared VMs that are not serving.
+    :param max_out: number of VMs that may be out of service at once.
+    :param by_state: number of VMs by state.
+    """
 
     pool: str
     wanted: int
@@ -178,9 +188,9 @@
 
 
 def summarize_pools(state: FleetState) -> list[PoolStatus]:
-    """Compare each pool with the manifest in force.
+    """Compare each pool with the current manifest.
 
-    :param state: the agreed state.
+    :param state: the replicated state.
     """
     summaries = []
     manifest = state.manifest
@@ -204,10 +214,10 @@
 
 
 def find_mentions(entry: Entry, subject: str) -> list[ev.Event]:
-    """Find the events of an entry that concern a VM, task, attempt or pool.
+    """Find the events of a journal entry that concern a VM, task, attempt or pool.
 
-    :param entry: the entry.
-    :param subject: its name.
+    :param entry: the journal entry.
+    :param subject: name of the VM, task, attempt or pool.
     """
     fields = ("vm", "task", "attempt", "pool")
     return [
@@ -218,16 +228,13 @@
 
 
 def describe_event(event: ev.Event) -> str:
-    """Describe an event in one line.
-
-    :param event: the event.
-    """
+    """Describe an event in one line."""
     if isinstance(event, ev.ManifestAccepted):
         count = len(event.changed) + len(event.removed)
         return f"manifest version {event.version} accepted, {count} parts changed"
     fields = ", ".join(
         f"{field.name}={getattr(event, field.name)}"
         for field in attrs.fields(type(event))
-        if field.name in _SHOWN_FIELDS
+        if field.name in _DESCRIBED_FIELDS
     )
     return f"{type(event).__name__}({fields})"
--- a/src/onyxgap/sentinels.py
+++ b/src/onyxgap/sentinels.py
@@ -1,4 +1,4 @@
-"""Falsy values that stand for an absent result and say why it is absent."""
+"""Falsy sentinel values for absent results, with the reason of the absence."""
 
 import typing as t
 
@@ -22,4 +22,4 @@
 
 
 NOT_FOUND = Missing("no such row")
-"""What a read of a row gives where none stands; compare it by truth."""
+"""Result of reading a row that does not exist; test it by its truth value."""
--- a/src/onyxgap/verdict.py
+++ b/src/onyxgap/verdict.py
@@ -4,9 +4,10 @@
 
 
 class Verdict(enum.Enum):
-    """How a request ended, as its caller is told.
+    """Outcome of a request, as reported to its caller.
 
-    ``NOT_RUN`` is a promise; ``MAY_HAVE_RUN`` is the absence of proof.
+    ``NOT_RUN`` guarantees that no target ran the request. ``MAY_HAVE_RUN`` means that
+    neither outcome is certain.
     """
 
     RAN = "ran"
@@ -25,10 +26,11 @@
 
 
 def may_retry(verdict: Verdict, idempotent: bool) -> bool:
-    """Tell whether a request with this verdict may be sent once more.
+    """Return whether a request with this verdict may be sent again.
 
-    :param verdict: how the attempt ended.
-    :param idempotent: whether running twice equals running once.
+    :param verdict: verdict of the last attempt.
+    :param idempotent: whether running the request twice has the effect of running it
+        once.
     """
     return _RETRYABLE[verdict, idempotent]
 
@@ -39,7 +41,7 @@
     A later ``NOT_RUN`` does not undo an earlier ``MAY_HAVE_RUN``.
 
     :param earlier: verdict of the attempts so far.
-    :param later: verdict of the newest attempt.
+    :param later: verdict of the latest attempt.
     """
     if Verdict.RAN in (earlier, later):
         return Verdict.RAN
