--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that the tests share."""
+"""Shared fixtures, and builders of deployments of the examples."""
 
 import pathlib
 import random
@@ -23,13 +23,13 @@
 
 
 def draw_work(service: str, job: str, rng: random.Random) -> float:
-    """Draw a run time: bulk jobs take seconds, others tens of milliseconds."""
+    """Draw an exponential run time, of mean 2 s for bulk jobs and 50 ms for others."""
     mean = 2.0 if job in ("rebuild", "reconcile", "export") else 0.05
     return rng.expovariate(1 / mean)
 
 
 def build_deployment(example: str, naive: bool = False, seed: int = 1) -> Deployment:
-    """Build a deployment of an example, ours or the naive one."""
+    """Build a deployment of an example, with onyxgap or with the naive baseline."""
     manifest, fleet = load_example(EXAMPLES / example)
     deployment = Deployment(manifest, fleet, draw_work, seed)
     if naive:
@@ -39,7 +39,7 @@
 
 
 def play_scenario(name: str, naive: bool, seed: int = 1) -> tuple[Stage, list[Breach]]:
-    """Play a scenario file and return its stage and breaches."""
+    """Run a scenario file in virtual time and return its stage and breaches."""
     scenario = parse_scenario((SCENARIOS / f"{name}.scn").read_text())
     stage = Stage(scenario, build_deployment(scenario.example, naive, seed))
     return stage, run_virtually(stage.play)
@@ -47,7 +47,7 @@
 
 @pytest.fixture(autouse=True)
 def quiet_logs() -> None:
-    """Keep log lines out of the tests' output."""
+    """Discard log lines instead of writing them to the output of the tests."""
     structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
 
 
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -1,4 +1,4 @@
-"""Builds parts of a node that tell how current its configuration is."""
+"""Builds a configuration exchange with a manual clock for tests."""
 
 import random
 import typing as t
@@ -16,7 +16,7 @@
 
 @attrs.define
 class SetClocks:
-    """Clocks that stand where a test sets them."""
+    """Clocks that show the time that a test sets."""
 
     now: float = 1_000.0
 
@@ -31,7 +31,7 @@
 
 
 async def _read_nothing() -> None:
-    """Find that the version in force is the newest."""
+    """Read no newer configuration: the current version is the newest."""
 
 
 def build_exchange(
@@ -42,6 +42,14 @@
     members: dict[str, Member] | None = None,
     read_newest: t.Callable[[], t.Awaitable[None]] | None = None,
 ) -> ConfigurationExchange:
+    """Build the exchange of a node whose configuration was confirmed some time ago.
+
+    :param routes: the current configuration.
+    :param age_s: seconds since it was last confirmed as the newest.
+    :param peers: other nodes; none by default.
+    :param members: addresses of the nodes; none by default.
+    :param read_newest: reads the newest configuration from the store.
+    """
     clocks = SetClocks()
     routes.confirm(0, clocks.now - age_s)
     return ConfigurationExchange(
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,21 +1,23 @@
-"""Tests that fail for a known fault: CI passes over them and prints them.
+"""Pytest plug-in that deselects tests with a known failure and prints them.
 
-``KNOWN-RED.txt`` at the root lists them, one a line: id of the test, then what was
-seen. ``pytest --with-known-red`` runs them like all others.
+``KNOWN-RED.txt`` at the root lists them, one per line: the node ID of the test, then
+what was observed. ``pytest --with-known-red`` runs them like all others.
 """
 
 import pathlib
 
 import pytest
 
-LIST = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
+KNOWN_FAILURES_FILE = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
-def read_list() -> dict[str, str]:
-    """Read the list: lines by the id of the test."""
-    if not LIST.exists():
+def read_known_failures() -> dict[str, str]:
+    """Read the list of known failures: lines by the node ID of the test."""
+    if not KNOWN_FAILURES_FILE.exists():
         return {}
-    lines = [line for line in LIST.read_text().splitlines() if line.strip()]
+    lines = [
+        line for line in KNOWN_FAILURES_FILE.read_text().splitlines() if line.strip()
+    ]
     return {line.split()[0]: line for line in lines}
 
 
@@ -30,12 +32,12 @@
 ) -> None:
     if config.getoption("--with-known-red"):
         return
-    listed = read_list()
-    red = [item for item in items if item.nodeid in listed]
-    items[:] = [item for item in items if item.nodeid not in listed]
-    config.hook.pytest_deselected(items=red)
+    known_failures = read_known_failures()
+    deselected = [item for item in items if item.nodeid in known_failures]
+    items[:] = [item for item in items if item.nodeid not in known_failures]
+    config.hook.pytest_deselected(items=deselected)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for line in read_list().values():
-        terminalreporter.write_line(f"known red, passed over: {line}")
+    for line in read_known_failures().values():
+        terminalreporter.write_line(f"not run, known failure: {line}")
--- a/tests/test_boundaries.py
+++ b/tests/test_boundaries.py
@@ -1,4 +1,4 @@
-"""The platform's words stay in its folder; data flows one way between packages."""
+"""Names of the platform's interface stay in its package; imports go one way."""
 
 import ast
 import pathlib
@@ -9,14 +9,16 @@
 from tests.conftest import ROOT
 
 PACKAGE = ROOT / "src" / "onyxgap"
-NEW = ("jobs", "pools", "daemons", "standins/emulator")
-PLATFORM_WORDS = re.compile(
+CHECKED_PACKAGES = ("jobs", "pools", "daemons", "standins/emulator")
+PLATFORM_NAMES = re.compile(
     r"mem_mb|rows-|run-start|run-stop|path_prefix|fencing_token|acked_upto"
     r"|deadline_ms\"|Expected-Instance|next_token|machine-|admission_check"
 )
-MODULES = sorted(path for folder in NEW for path in (PACKAGE / folder).glob("*.py"))
+MODULES = sorted(
+    path for folder in CHECKED_PACKAGES for path in (PACKAGE / folder).glob("*.py")
+)
 
-# package, and the packages of the product that it may import
+# packages of onyxgap that each package may import; "" is the modules at its root
 ALLOWED = {
     "jobs": {"jobs", "pools", ""},
     "pools": {"pools", ""},
@@ -25,6 +27,7 @@
 
 
 def list_packages(path: pathlib.Path) -> set[str]:
+    """List the packages of onyxgap that a module imports, "" for root modules."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.level:
@@ -38,8 +41,8 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_no_word_of_the_platform_outside_its_folder(path: pathlib.Path) -> None:
-    assert not PLATFORM_WORDS.findall(path.read_text())
+def test_names_of_the_platform_stay_in_its_package(path: pathlib.Path) -> None:
+    assert not PLATFORM_NAMES.findall(path.read_text())
 
 
 @pytest.mark.parametrize("package", ALLOWED)
@@ -49,6 +52,6 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_only_the_process_knows_the_platform(path: pathlib.Path) -> None:
+def test_only_node_process_imports_platform(path: pathlib.Path) -> None:
     if path.stem != "node_process":
         assert "platform" not in list_packages(path)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes, and their planned stop."""
+"""End-to-end tests with separate processes: requests, planned stop, pause, outage."""
 
 import contextlib
 import json
@@ -16,11 +16,11 @@
 from tests.conftest import EXAMPLES
 from tests.ports import find_port
 
-PATIENCE_S = 120.0
+WAIT_TIMEOUT_S = 120.0
 
 
 class Processes:
-    """Processes on free ports, ended with the test."""
+    """Starts processes on free ports and kills them at the end of the test."""
 
     def __init__(self, folder: pathlib.Path, stack: contextlib.ExitStack) -> None:
         self.folder = folder
@@ -88,14 +88,17 @@
 
 
 def wait_for(check: t.Callable[[], bool]) -> None:
-    """Wait until something holds; the patience only ends a hopeless wait."""
-    end = time.monotonic() + PATIENCE_S
-    while not _try(check):
-        assert time.monotonic() < end, "it never came to hold"
+    """Wait until a condition holds.
+
+    The time-out only ends waits that cannot succeed.
+    """
+    end = time.monotonic() + WAIT_TIMEOUT_S
+    while not _check(check):
+        assert time.monotonic() < end, "condition did not hold in time"
         time.sleep(0.1)
 
 
-def _try(check: t.Callable[[], bool]) -> bool:
+def _check(check: t.Callable[[], bool]) -> bool:
     try:
         return check()
     except httpcore.NetworkError:
@@ -104,7 +107,7 @@
 
 @pytest.fixture
 def processes(tmp_path: pathlib.Path) -> t.Iterator[Processes]:
-    """Platform, targets, two entries and a control with a manifest in force."""
+    """Platform, targets, two entry processes and a control process with a manifest."""
     with contextlib.ExitStack() as stack:
         processes = Processes(tmp_path, stack)
         processes.run_fleet(work_ms=600)
@@ -120,7 +123,7 @@
 
 
 @pytest.mark.promise("graceful")
-def test_whole_path_as_separate_processes(processes: Processes) -> None:
+def test_requests_and_commands_with_separate_processes(processes: Processes) -> None:
     for entry in ("entry-1", "entry-2"):
         status, verdict, body = processes.call(entry, "/v1/buyer-app/browse")
         assert (status, verdict) == (200, "ran")
@@ -142,7 +145,7 @@
     assert "VmJoined" in explained.stdout
     assert json.loads(processes.command("audit", "--json").stdout)[0]["sequence"] == 1
 
-    # a planned stop lets the request in flight end and exits with 0
+    # after a planned stop the request in flight completes, and the process exits with 0
     stopping = processes.running["entry-2"]
     url = f"http://127.0.0.1:{processes.ports['entry-2']}/v1/buyer-app/browse"
     with (
@@ -156,7 +159,7 @@
     assert events[-1] == "stopped"
     wait_for(lambda: "entry-2" not in processes.command("status").stdout)
 
-    # the other goes on alone, and a killed control is not missed by callers
+    # the other entry process serves alone, also after the control process is killed
     processes.running["control-1"].kill()
     assert processes.call("entry-1", "/v1/buyer-app/browse")[0] == 200
 
@@ -175,14 +178,14 @@
     os.kill(paused.pid, signal.SIGSTOP)
     time.sleep(3)
     os.kill(paused.pid, signal.SIGCONT)
-    # whatever it says first, it says the truth about what it ran
+    # the first answers after the pause may be refusals, but no verdict is uncertain
     answers = [processes.call("entry-1", "/v1/buyer-app/browse") for _ in range(3)]
     assert all(answer[1] in ("ran", "not-run") for answer in answers)
     path = "/v1/buyer-app/browse"
     wait_for(lambda: processes.call("entry-1", path)[0] == 200)
 
 
-def test_platform_that_is_away_is_said_so(processes: Processes) -> None:
+def test_unavailable_platform_is_reported(processes: Processes) -> None:
     processes.running["platform"].kill()
     processes.running["platform"].wait()
     failed = processes.command("status")
@@ -190,10 +193,10 @@
     assert "platform unavailable" in failed.stderr
     status, verdict, _ = processes.call("entry-1", "/v1/buyer-app/sell", "sale-2")
     assert (status, verdict) == (503, "not-run")
-    # requests that need no claim go on through an outage of the store
+    # requests that need no claim are served during an outage of the store
     assert processes.call("entry-1", "/v1/buyer-app/browse")[:2] == (200, "ran")
 
 
-def test_no_port_is_given_twice() -> None:
+def test_port_is_never_allocated_twice() -> None:
     ports = [find_port() for _ in range(500)]
     assert len(set(ports)) == len(ports)
--- a/tests/test_purity.py
+++ b/tests/test_purity.py
@@ -1,4 +1,4 @@
-"""Decision modules do no input or output and read no clock or randomness."""
+"""Decision modules import no modules for I/O, clocks or random numbers."""
 
 import ast
 import pathlib
@@ -8,7 +8,7 @@
 from tests.conftest import ROOT
 
 PACKAGE = ROOT / "src" / "onyxgap"
-DECISIONS = sorted(
+DECISION_MODULES = sorted(
     [
         *(PACKAGE / "fleet").glob("*.py"),
         *(PACKAGE / "jobs").glob("*.py"),
@@ -39,11 +39,12 @@
         PACKAGE / "verdict.py",
     ]
 )
-BANNED = {"anyio", "asyncio", "httpcore", "random", "socket", "thrift", "time"}
-BANNED |= {"trio", "uvicorn"}
+FORBIDDEN = {"anyio", "asyncio", "httpcore", "random", "socket", "thrift", "time"}
+FORBIDDEN |= {"trio", "uvicorn"}
 
 
 def list_imports(path: pathlib.Path) -> set[str]:
+    """List the top-level packages of the absolute imports of a module."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -53,6 +54,6 @@
     return names
 
 
-@pytest.mark.parametrize("path", DECISIONS, ids=lambda path: path.stem)
-def test_decision_module_is_pure(path: pathlib.Path) -> None:
-    assert not list_imports(path) & BANNED
+@pytest.mark.parametrize("path", DECISION_MODULES, ids=lambda path: path.stem)
+def test_decision_module_imports_no_io(path: pathlib.Path) -> None:
+    assert not list_imports(path) & FORBIDDEN
