--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -35,27 +35,27 @@
 
 @SETTINGS
 @hypothesis.given(FRAMES)
-def test_decoded_frame_equals_the_encoded_one(frame: ttypes.Frame) -> None:
-    encoded = encode_frame(frame)
-    assert decode_length(encoded[:4]) == len(encoded) - 4
-    assert decode_frame(encoded[4:]) == frame
+def test_frame_survives_the_wire(frame: ttypes.Frame) -> None:
+    body = encode_frame(frame)
+    assert decode_length(body[:4]) == len(body) - 4
+    assert decode_frame(body[4:]) == frame
 
 
 @SETTINGS
 @hypothesis.given(strategies.binary(max_size=200))
-def test_random_bytes_raise_only_frame_error(body: bytes) -> None:
+def test_nonsense_is_a_frame_error(body: bytes) -> None:
     with contextlib.suppress(FrameError):
         decode_frame(body)
 
 
 @SETTINGS
 @hypothesis.given(FRAMES, strategies.data())
-def test_corrupt_frame_raises_only_frame_error(
+def test_damaged_frame_is_a_frame_error(
     frame: ttypes.Frame, data: strategies.DataObject
 ) -> None:
     body = bytearray(encode_frame(frame)[4:])
-    index = data.draw(strategies.integers(0, len(body) - 1))
-    body[index] = data.draw(strategies.integers(0, 255))
+    place = data.draw(strategies.integers(0, len(body) - 1))
+    body[place] = data.draw(strategies.integers(0, 255))
     with contextlib.suppress(FrameError):
         decode_frame(bytes(body))
 
