--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -17,7 +17,7 @@
 
 from onyxgap.adapters.platform_client import CONVERTER
 from onyxgap.adapters.slot_link import NodeSlotLink
-from onyxgap.fleet.messages import View
+from onyxgap.fleet.messages import PassInput
 from onyxgap.fleet.observation import Observer
 from onyxgap.fleet.pipe import PoolSelector
 from onyxgap.fleet.pipe import list_owned
@@ -36,9 +36,9 @@
 from onyxgap.ports import VmStatus
 from onyxgap.request.allocation import SlotBroker
 from onyxgap.request.claims import BatchWriter
-from onyxgap.request.link import AskMessage
+from onyxgap.request.link import SlotRequestMessage
 from onyxgap.request.messages import Outcome
-from onyxgap.request.queue import Ask
+from onyxgap.request.queue import SlotRequest
 from onyxgap.request.scheduling import SlotScheduler
 from onyxgap.request.targets import TargetSet
 from onyxgap.shared import events as ev
@@ -167,7 +167,7 @@
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     snapshot = encode_snapshot(state)
-    view = look(state)
+    pass_input = look(state)
     pools = [pool.name for pool in state.manifest.pools] if state.manifest else []
     selector = PoolSelector()
     manifest_s = time_cpu(lambda: split_manifest(build_manifest(workers)), 1)
@@ -175,11 +175,11 @@
         "state_mb": memory / 1e6,
         "snapshot_kb": len(snapshot) / 1e3,
         "snapshot_load_s": time_cpu(lambda: decode_snapshot(snapshot), 2),
-        "full_pass_s": time_cpu(lambda: plan_pass(pools, view, {}), 3),
-        "steady_pass_ms": 1e3 * time_cpu(lambda: selector.choose(pools, view)),
+        "full_pass_s": time_cpu(lambda: plan_pass(pools, pass_input, {}), 3),
+        "steady_pass_ms": 1e3 * time_cpu(lambda: selector.choose(pools, pass_input)),
         "own_pools_ms": 1e3
         * time_cpu(lambda: list_owned(state, "control-1", CONTROLS)),
-        "one_pool_ms": 1e3 * time_cpu(lambda: plan_pass(pools[:1], view, {})),
+        "one_pool_ms": 1e3 * time_cpu(lambda: plan_pass(pools[:1], pass_input, {})),
         "observe_ms": 1e3 * time_cpu(lambda: observe(state)),
         "observe_same_ms": 1e3 * measure_same_list(state),
         "list_mb": measure_list(state),
@@ -189,15 +189,15 @@
     }
 
 
-def look(state: FleetState) -> View:
+def look(state: FleetState) -> PassInput:
     """Build a view in which every VM is live."""
-    return View(state, observe(state).observe(0.0), 1.0, state.sequence, {})
+    return PassInput(state, observe(state).observe(0.0), 1.0, state.sequence, {})
 
 
 def observe(state: FleetState) -> Observer:
     """Take in one list of the platform."""
     observer = Observer()
-    observer.take(build_list(state), state.vms.keys(), 0.0)
+    observer.record_list(build_list(state), state.vms.keys(), 0.0)
     return observer
 
 
@@ -207,7 +207,9 @@
     vms = observer._vms or ()
     now = iter(range(1, 1000))
     return time_cpu(
-        lambda: observer.take(VmList(0.0, vms), state.vms.keys(), float(next(now)))
+        lambda: observer.record_list(
+            VmList(0.0, vms), state.vms.keys(), float(next(now))
+        )
     )
 
 
@@ -242,7 +244,7 @@
     """Measure what one journal entry costs an entry that owns 40 services."""
     broker = SlotBroker("entry-1", t.cast(t.Any, None), random.Random(1))
     broker.refresh(state, 0.0)
-    for number in range(min(40, len(state.members))):
+    for number in range(min(40, len(state.pool_vms))):
         broker._find_scheduler(f"service-{number}")
     return time_cpu(lambda: broker.refresh(state, 0.0))
 
@@ -261,7 +263,7 @@
     in_use = 0.7 * targets * 8
     started = time.process_time()
     for number in range(count):
-        ask = Ask("entry-1", number, number % 3, 1e9, f"team-{number % teams}")
+        ask = SlotRequest("entry-1", number, number % 3, 1e9, f"team-{number % teams}")
         scheduler.submit(ask, 0.0)
         if number >= in_use:
             old = number - int(in_use)
@@ -290,8 +292,8 @@
     """Measure the messages between processes."""
     counting = _CountingLink()
     link = NodeSlotLink(t.cast(t.Any, counting))
-    message = AskMessage(123_456, "service-123", 0, 3.8, "team-1", ())
-    link.send_ask("entry-2", message)
+    message = SlotRequestMessage(123_456, "service-123", 0, 3.8, "team-1", ())
+    link.send_request("entry-2", message)
     link.send_release("entry-2", 123_456, Outcome.SERVED, 0.05)
     frame = ttypes.Frame(
         sender="entry-2", grants=[ttypes.SlotGrant(ask=123_456, vm="vm-01234")]
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -287,7 +287,7 @@
         # each call is sent once; what is sent beyond that is a retry
         return max(0, stage.deployment.targets.sent - len(stage.deployment.calls))
     running = stage.deployment.running.values()
-    return sum(r.parts.pipe.retries for r in running if r.role == "entry")
+    return sum(r.parts.pipeline.retries for r in running if r.role == "entry")
 
 
 def _measure_use(stage: Stage, setup: Example) -> float:
--- a/bench/naive.py
+++ b/bench/naive.py
@@ -95,7 +95,7 @@
         self.node = NaiveNode(self.row)
 
     @property
-    def pipe(self) -> "NaiveEntry":
+    def pipeline(self) -> "NaiveEntry":
         """The pipe is the entry itself."""
         return self
 
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -87,7 +87,7 @@
         """Tell whether a version is in force on every entry that serves."""
         return all(
             self.deployment.running[name].parts.version >= version
-            for name in self.deployment.list_entries()
+            for name in self.deployment.list_entry_processes()
         )
 
 
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -18,7 +18,7 @@
 import attrs
 
 from onyxgap.request.messages import Outcome
-from onyxgap.request.queue import Ask
+from onyxgap.request.queue import SlotRequest
 from onyxgap.request.scheduling import Granted
 from onyxgap.request.scheduling import SlotScheduler
 from onyxgap.request.targets import TargetSet
@@ -193,7 +193,7 @@
     def submit(self, request: Request) -> None:
         """Take in a request at its entry."""
         self.waiting[request.number] = request
-        ask = Ask(
+        ask = SlotRequest(
             str(request.entry),
             request.number,
             request.rank,
--- a/bench/soak/platform.py
+++ b/bench/soak/platform.py
@@ -14,7 +14,7 @@
 from onyxgap.adapters.asgi import Send
 from onyxgap.adapters.asgi import read_body
 from onyxgap.adapters.asgi import send_json
-from onyxgap.exceptions import HistoryLostError
+from onyxgap.exceptions import HistoryTruncatedError
 from onyxgap.exceptions import PlatformUnavailableError
 from onyxgap.jobs.store import Applied
 from onyxgap.jobs.store import Conflict
@@ -122,7 +122,7 @@
                 return await self._follow(query)
             parts = await self.store.list_parts(query["table"])
             return 200, {"parts": list(parts)}
-        except HistoryLostError:
+        except HistoryTruncatedError:
             return 410, {}
         except PlatformUnavailableError as error:
             return (503, {}) if str(error) == "turned away" else None
--- a/src/onyxgap/adapters/asgi.py
+++ b/src/onyxgap/adapters/asgi.py
@@ -13,7 +13,7 @@
     """A request body exceeds the size limit."""
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller disconnected before its request body was complete."""
 
 
@@ -23,7 +23,7 @@
     :param receive: ASGI receive callable.
     :param limit: maximum size in bytes.
     :raises BodyTooLargeError: when the body is larger than ``limit``.
-    :raises CallerGoneError: when the caller disconnects.
+    :raises CallerDisconnectedError: when the caller disconnects.
     """
     parts = []
     size = 0
@@ -31,7 +31,7 @@
     while more:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise CallerGoneError
+            raise CallerDisconnectedError
         part = message.get("body", b"")
         size += len(part)
         if size > limit:
--- a/src/onyxgap/adapters/http_front.py
+++ b/src/onyxgap/adapters/http_front.py
@@ -20,7 +20,7 @@
 from ..request.messages import Reason
 from ..verdict import Verdict
 from .asgi import BodyTooLargeError
-from .asgi import CallerGoneError
+from .asgi import CallerDisconnectedError
 from .asgi import Receive
 from .asgi import Scope
 from .asgi import Send
@@ -94,7 +94,7 @@
         request_id = self.make_request_id()
         try:
             request = await self._read_request(scope, receive, request_id)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             return
         if isinstance(request, Answer):
             answer, service, job = request, "", ""
--- a/src/onyxgap/adapters/peer_link.py
+++ b/src/onyxgap/adapters/peer_link.py
@@ -66,7 +66,7 @@
 
 
 @attrs.define
-class PeerHub:
+class PeerTransport:
     """Accepts connections of peers and keeps one outgoing connection to each.
 
     Frames that cannot be sent are dropped: the layer above repeats every message or
--- a/src/onyxgap/adapters/platform_client.py
+++ b/src/onyxgap/adapters/platform_client.py
@@ -55,15 +55,15 @@
     :param writes: number of calls that write to the table or the object store.
     :param reads: number of all other calls, including VM actions and task starts
         and stops.
-    :param bytes_moved: bytes of URLs and bodies sent and received; headers are not
-        counted.
+    :param bytes_transferred: bytes of URLs and bodies sent and received; headers are
+        not counted.
     """
 
     address: Address
     timeout_s: float = defaults.PLATFORM_TIMEOUT_S
     reads: int = 0
     writes: int = 0
-    bytes_moved: int = 0
+    bytes_transferred: int = 0
     _vms_etag: str = ""
     _vms: tuple[ListedVm, ...] = ()
     _pool: httpcore.AsyncConnectionPool = attrs.field(
@@ -95,7 +95,7 @@
             raise PlatformUnavailableError(
                 "platform did not answer within the time-out"
             ) from None
-        self.bytes_moved += len(body) + len(response.content) + len(url)
+        self.bytes_transferred += len(body) + len(response.content) + len(url)
         if response.status not in _EXPECTED_STATUSES:
             raise PlatformUnavailableError(
                 f"platform answered with HTTP status {response.status}"
--- a/src/onyxgap/adapters/slot_link.py
+++ b/src/onyxgap/adapters/slot_link.py
@@ -3,7 +3,7 @@
 import attrs
 
 from ..request.allocation import SlotBroker
-from ..request.link import AskMessage
+from ..request.link import SlotRequestMessage
 from ..request.messages import Outcome
 from ..request.messages import Reason
 from ..request.messages import Refusal
@@ -31,7 +31,7 @@
     def _create_frame(self) -> ttypes.Frame:
         return ttypes.Frame(sender=self.node.name)
 
-    def send_ask(self, owner: str, message: AskMessage) -> None:
+    def send_request(self, owner: str, message: SlotRequestMessage) -> None:
         """Send a slot request to the owner."""
         frame = self._create_frame()
         frame.asks = [
@@ -91,7 +91,7 @@
         self._send(owner, frame)
 
 
-def feed_broker(broker: SlotBroker, frame: ttypes.Frame, now: float) -> None:
+def dispatch_slot_messages(broker: SlotBroker, frame: ttypes.Frame, now: float) -> None:
     """Dispatch the slot messages of a frame to the broker.
 
     :param broker: broker of this entry process.
@@ -99,16 +99,16 @@
     :param now: monotonic seconds.
     """
     sender = frame.sender
-    broker.hear(sender, now)
+    broker.record_contact(sender, now)
     for held in frame.held or ():
-        slot = Slot(held.ask, held.service_name, held.vm, broker.me, held.team)
+        slot = Slot(held.ask, held.service_name, held.vm, broker.own_name, held.team)
         broker.handle_held(sender, slot, now)
     for release in frame.releases or ():
         outcome = Outcome(release.outcome)
         took_s = release.took_us / 1_000_000
         broker.handle_release(sender, release.ask, outcome, took_s, now)
     for request in frame.asks or ():
-        message = AskMessage(
+        message = SlotRequestMessage(
             ask=request.ask,
             service=request.service_name,
             rank=min(max(request.priority, 0), 2),
@@ -116,7 +116,7 @@
             team=request.team,
             avoid=tuple(request.avoid or ()),
         )
-        broker.handle_ask(sender, message, now)
+        broker.handle_request(sender, message, now)
     for grant in frame.grants or ():
         slot = Slot(grant.ask, "", grant.vm, sender)
         broker.handle_decision(sender, grant.ask, slot)
--- a/src/onyxgap/adapters/target_client.py
+++ b/src/onyxgap/adapters/target_client.py
@@ -221,7 +221,7 @@
 
     def _add_idle(self, address: str, connection: _Connection) -> bool:
         idle = self._idle.setdefault(address, collections.deque())
-        if len(idle) >= defaults.KEEP_IDLE_CONNECTIONS:
+        if len(idle) >= defaults.MAX_IDLE_CONNECTIONS:
             return False
         connection.idle_since = time.monotonic()
         idle.append(connection)
--- a/src/onyxgap/cli/commands.py
+++ b/src/onyxgap/cli/commands.py
@@ -15,8 +15,8 @@
 from ..clocks import SystemClocks
 from ..exceptions import DocumentError
 from ..exceptions import Fault
-from ..fleet.messages import View
-from ..fleet.messages import find_wanted
+from ..fleet.messages import PassInput
+from ..fleet.messages import get_declared_pool
 from ..fleet.observation import Observer
 from ..fleet.pipe import list_pools
 from ..fleet.pipe import plan_pass
@@ -159,17 +159,17 @@
     return 0
 
 
-async def _look(platform: PlatformClient, state: FleetState) -> View:
+async def _look(platform: PlatformClient, state: FleetState) -> PassInput:
     vm_list = await platform.list_vms()
     now = anyio.current_time()
     # one list decides here: the command looks once and goes
-    observer = Observer(needed=1)
-    observer.take(vm_list, state.vms.keys(), now)
-    return View(
+    observer = Observer(min_absences=1)
+    observer.record_list(vm_list, state.vms.keys(), now)
+    return PassInput(
         state=state,
         observation=observer.observe(now),
         wall=SystemClocks().read_wall(),
-        acknowledged=state.sequence,
+        min_applied_sequence=state.sequence,
         in_flight={},
     )
 
@@ -178,11 +178,11 @@
     """Show what cannot be brought in line and why, and the plan's measures."""
     async with connect(arguments) as platform:
         state = await operations.load_state(platform)
-        view = await _look(platform, state)
+        pass_input = await _look(platform, state)
         listed = {task.attempt: task for task in await platform.list_tasks()}
-    steps = plan_pass(list_pools(state), view, listed)
-    reports = [report for step in steps for report in step.reports]
-    summary = summarize_plan(view)
+    pool_plans = plan_pass(list_pools(state), pass_input, listed)
+    reports = [report for pool_plan in pool_plans for report in pool_plan.reports]
+    summary = summarize_plan(pass_input)
     if arguments.json:
         _print_json(
             {
@@ -222,7 +222,7 @@
     lines = [
         (entry, event)
         for entry in entries
-        for event in operations.find_mentions(entry, subject)
+        for event in operations.list_related_events(entry, subject)
     ]
     if arguments.json:
         _print_json(
@@ -243,6 +243,6 @@
         print(f"{entry.sequence:>6}  {entry.at:.3f}  {entry.author}: {text}")
     record = state.vms.get(subject)
     if record is not None:
-        pool = find_wanted(state, record.pool)
+        pool = get_declared_pool(state, record.pool)
         print(f"now {record.state.value} in {pool.name}: {record.reason}")
     return 0 if lines else 1
--- a/src/onyxgap/cli/main.py
+++ b/src/onyxgap/cli/main.py
@@ -13,7 +13,7 @@
 from ..exceptions import OnyxgapError
 from ..exceptions import PlatformUnavailableError
 from ..logs import LEVELS
-from ..platform.settings import PATH_VARIABLE
+from ..platform.settings import SETTINGS_PATH_VARIABLE
 from ..settings import parse_address
 
 EXIT_NOT_IN_LINE = 1
@@ -83,9 +83,10 @@
     )
     node.add_argument(
         "--settings",
-        default=os.environ.get(PATH_VARIABLE),
+        default=os.environ.get(SETTINGS_PATH_VARIABLE),
         metavar="FILE",
-        help=f"the platform's settings file, by default that of ${PATH_VARIABLE}",
+        help=f"the platform's settings file, "
+        f"by default that of ${SETTINGS_PATH_VARIABLE}",
     )
     node.add_argument(
         "--metrics-port",
--- a/src/onyxgap/cli/nodes.py
+++ b/src/onyxgap/cli/nodes.py
@@ -8,7 +8,7 @@
 from ..exceptions import Fault
 from ..logs import configure_bounded_logs
 from ..logs import configure_logs
-from ..platform.settings import PATH_VARIABLE
+from ..platform.settings import SETTINGS_PATH_VARIABLE
 
 
 async def run_platform_node(arguments: argparse.Namespace) -> int:
@@ -16,7 +16,9 @@
     from ..daemons.node_process import run_node_process  # experiments need none
 
     if not arguments.settings:
-        raise DocumentError([Fault("--settings", f"or {PATH_VARIABLE} is required")])
+        raise DocumentError(
+            [Fault("--settings", f"or {SETTINGS_PATH_VARIABLE} is required")]
+        )
     lines = configure_bounded_logs(arguments.log_level)
     port = arguments.metrics_port
     return await run_node_process(arguments.settings, lines, port)
--- a/src/onyxgap/daemons/control.py
+++ b/src/onyxgap/daemons/control.py
@@ -17,17 +17,17 @@
 from ..adapters.asgi import send_answer
 from ..adapters.asgi import send_json
 from ..adapters.http_server import HttpServer
-from ..adapters.peer_link import PeerHub
+from ..adapters.peer_link import PeerTransport
 from ..adapters.platform_client import PlatformClient
 from ..clocks import Clocks
 from ..clocks import SystemClocks
 from ..exceptions import PlatformUnavailableError
 from ..fleet.messages import Order
+from ..fleet.messages import PassInput
+from ..fleet.messages import PoolPlan
 from ..fleet.messages import PowerOrder
 from ..fleet.messages import Report
-from ..fleet.messages import Step
 from ..fleet.messages import StopOrder
-from ..fleet.messages import View
 from ..fleet.observation import Observer
 from ..fleet.pipe import PoolSelector
 from ..fleet.pipe import list_owned
@@ -139,16 +139,16 @@
         """
         asked_at = self.node.now()
         vm_list = await self.platform.list_vms()
-        self.observer.take(vm_list, self.node.state.vms.keys(), asked_at)
+        self.observer.record_list(vm_list, self.node.state.vms.keys(), asked_at)
         owned = self.list_owned_pools()
         await self._read_tasks(owned)
         started = time.process_time()
-        view = self.look()
-        pools = self.selector.choose(owned, view)
-        steps = plan_pass(pools, view, self._listed_tasks)
+        pass_input = self.look()
+        pools = self.selector.choose(owned, pass_input)
+        pool_plans = plan_pass(pools, pass_input, self._listed_tasks)
         self.pass_cpu_s += time.process_time() - started
         self.passes += 1
-        await self._act(steps)
+        await self._act(pool_plans)
         await self._save_snapshot()
         await self._sweep()
 
@@ -171,7 +171,7 @@
         attempts = [
             attempt
             for pool in owned
-            for attempt in self.node.state.attempts_in.get(pool, {}).values()
+            for attempt in self.node.state.pool_attempts.get(pool, {}).values()
         ]
         now = self.node.now()
         awaited = any(
@@ -188,40 +188,42 @@
         """List the pools that this control looks after."""
         return list_owned(self.node.state, self.node.name, self._list_controls())
 
-    def look(self) -> View:
+    def look(self) -> PassInput:
         """Build the view that a pass looks at."""
         now = self.node.now()
         live = self.node.membership.list_live(now, ENTRY_ROLE)
-        lapsed = self.node.membership.list_lapsed(now, ENTRY_ROLE)
+        lapsed = self.node.membership.list_timed_out(now, ENTRY_ROLE)
         in_flight: collections.Counter[str] = collections.Counter()
         for row in live:
             in_flight.update(row.draining)
         # a minority that has lapsed may be dead; a majority rather means that
         # we are the ones who are cut off
-        cautious = len(lapsed) > len(live) or self.node.store_age() > STORE_SILENT_S
-        return View(
+        safe_mode = len(lapsed) > len(live) or self.node.store_age() > STORE_SILENT_S
+        return PassInput(
             state=self.node.state,
             observation=self.observer.observe(now),
             wall=self.clocks.read_wall(),
-            acknowledged=min((row.sequence for row in live), default=0)
+            min_applied_sequence=min((row.sequence for row in live), default=0)
             if live
             else self.node.state.sequence,
             in_flight=in_flight,
-            cautious=cautious,
+            safe_mode=safe_mode,
             drain_grace_s=self.drain_grace_s,
         )
 
-    async def _act(self, steps: t.Sequence[Step]) -> None:
-        for step in steps:
-            self.reports[step.pool] = tuple(step.reports)
+    async def _act(self, pool_plans: t.Sequence[PoolPlan]) -> None:
+        for pool_plan in pool_plans:
+            self.reports[pool_plan.pool] = tuple(pool_plan.reports)
         # orders are due on the state as it stands, so they come first
-        await self._carry_out([order for step in steps for order in step.orders])
+        await self._carry_out(
+            [order for pool_plan in pool_plans for order in pool_plan.orders]
+        )
         events: list[Event] = []
         pools = []
-        for step in steps:
-            if step.events and len(events) < MAX_EVENTS_PER_ENTRY:
-                events.extend(step.events)
-                pools.append(step.pool)
+        for pool_plan in pool_plans:
+            if pool_plan.events and len(events) < MAX_EVENTS_PER_ENTRY:
+                events.extend(pool_plan.events)
+                pools.append(pool_plan.pool)
         if not events:
             return
         if await self.node.append(events, f"bring in line: {', '.join(pools)}"):
@@ -356,26 +358,26 @@
     """
     rng = random.Random()
     platform = PlatformClient(settings.platform)
-    hub = PeerHub(settings.peer)
+    transport = PeerTransport(settings.peer)
     front = ControlFront()
     async with anyio.create_task_group() as group:
-        peer = await group.start(hub.run)
+        peer = await group.start(transport.run)
         server = HttpServer(front, settings.http, settings.stop_grace_s)
         http = await group.start(server.run)
         row = build_row(settings, CONTROL_ROLE, peer, http, rng)
         parts = ControlParts(
             row,
             platform,
-            hub,
+            transport,
             clocks or SystemClocks(),
             rng,
             settings.poll_interval_s,
             settings.drain_grace_s,
         )
-        hub.on_frame = parts.handle_frame
+        transport.on_frame = parts.handle_frame
         parts.metrics.gauges.update(
-            peer_bytes=lambda: hub.bytes_in + hub.bytes_out,
-            platform_bytes=lambda: platform.bytes_moved,
+            peer_bytes=lambda: transport.bytes_in + transport.bytes_out,
+            platform_bytes=lambda: platform.bytes_transferred,
         )
         front.parts = parts
         group.start_soon(parts.run)
--- a/src/onyxgap/daemons/entry.py
+++ b/src/onyxgap/daemons/entry.py
@@ -11,20 +11,20 @@
 
 from ..adapters.http_front import HttpFront
 from ..adapters.http_server import HttpServer
-from ..adapters.peer_link import PeerHub
+from ..adapters.peer_link import PeerTransport
 from ..adapters.platform_client import PlatformClient
 from ..adapters.slot_link import NodeSlotLink
-from ..adapters.slot_link import feed_broker
+from ..adapters.slot_link import dispatch_slot_messages
 from ..adapters.target_client import HttpTargetClient
 from ..clocks import Clocks
 from ..clocks import SystemClocks
 from ..metrics import Metrics
 from ..ports import Platform
 from ..request.allocation import SlotBroker
-from ..request.claims import ClaimKeeper
+from ..request.claims import ClaimStore
 from ..request.messages import Answer
 from ..request.messages import TargetClient
-from ..request.pipe import RequestPipe
+from ..request.pipeline import RequestPipeline
 from ..settings import Settings
 from ..shared.events import Entry
 from ..shared.membership import ENTRY_ROLE
@@ -63,8 +63,8 @@
     poll_interval_s: float = 1.0
     node: Node = attrs.field(init=False)
     broker: SlotBroker = attrs.field(init=False)
-    claims: ClaimKeeper = attrs.field(init=False)
-    pipe: RequestPipe = attrs.field(init=False)
+    claims: ClaimStore = attrs.field(init=False)
+    pipeline: RequestPipeline = attrs.field(init=False)
     metrics: Metrics = attrs.field(factory=Metrics)
     stopping: bool = False
     _busy: anyio.Event = attrs.field(factory=anyio.Event)
@@ -80,28 +80,28 @@
         )
         link = NodeSlotLink(self.node)
         self.broker = SlotBroker(self.node.name, link, self.rng)
-        self.broker.on_busy = lambda: self._busy.set()
-        self.claims = ClaimKeeper(self.platform)
-        self.pipe = RequestPipe(
+        self.broker.on_request_added = lambda: self._busy.set()
+        self.claims = ClaimStore(self.platform)
+        self.pipeline = RequestPipeline(
             self.node, self.broker, self.claims, self.client, self.clocks, self.rng
         )
         self.node.on_change.append(self._refresh_targets)
-        self.node.on_members.append(self._refresh_entries)
+        self.node.on_membership_change.append(self._refresh_entries)
         self.node.count_draining = self._count_draining
         self.metrics.gauges.update(
-            in_flight=lambda: self.pipe.in_flight,
+            in_flight=lambda: self.pipeline.in_flight,
             journal_sequence=lambda: self.node.state.sequence,
             manifest_version=lambda: self.node.state.version,
             may_serve=lambda: float(self.node.may_serve()),
-            retries=lambda: self.pipe.retries,
-            unsettled_claims=lambda: len(self.claims.unsettled),
+            retries=lambda: self.pipeline.retries,
+            unsettled_claims=lambda: len(self.claims.pending_results),
         )
 
     def _refresh_targets(self, entries: t.Sequence[Entry]) -> None:
         self.broker.refresh(self.node.state, self.node.now())
 
     def _refresh_entries(self) -> None:
-        self.broker.set_entries(self.node.list_entries(), self.node.now())
+        self.broker.set_entries(self.node.list_entry_processes(), self.node.now())
 
     def _count_draining(self) -> dict[str, int]:
         counts = {}
@@ -119,7 +119,7 @@
         """
         self.node.handle_frame(frame)
         try:
-            feed_broker(self.broker, frame, self.node.now())
+            dispatch_slot_messages(self.broker, frame, self.node.now())
         except ValueError as error:
             _LOG.warning("bad-frame", sender=frame.sender, reason=str(error))
 
@@ -132,7 +132,7 @@
 
     async def _tick(self) -> None:
         while True:
-            if not self.broker.is_busy():
+            if not self.broker.has_waiting_requests():
                 self._busy = anyio.Event()
                 await self._busy.wait()
             await anyio.sleep(TICK_S)
@@ -146,11 +146,11 @@
         :param grace_s: longest wait, in seconds.
         """
         with anyio.move_on_after(grace_s):
-            while self.pipe.in_flight:
+            while self.pipeline.in_flight:
                 await anyio.sleep(TICK_S)
         with anyio.move_on_after(SETTLE_ON_STOP_S):
-            while self.claims.unsettled:
-                await self.claims.settle_once()
+            while self.claims.pending_results:
+                await self.claims.store_pending_results()
         await self.node.leave()
 
     @property
@@ -198,7 +198,7 @@
         "version": node.state.version,
         "fresh": node.may_serve(),
         "stopping": stopping,
-        "corrupt_rows": node.journal.corrupt,
+        "corrupt_rows": node.journal.corrupt_keys,
         "metrics": metrics.summarize(),
     }
 
@@ -237,23 +237,31 @@
     """
     rng = random.Random()
     platform = PlatformClient(settings.platform)
-    hub = PeerHub(settings.peer)
+    transport = PeerTransport(settings.peer)
     client = HttpTargetClient()
     async with anyio.create_task_group() as group:
-        peer = await group.start(hub.run)
+        peer = await group.start(transport.run)
         late = _LateFront()
         server = HttpServer(late, settings.http, settings.stop_grace_s)
         http = await group.start(server.run)
         row = build_row(settings, ENTRY_ROLE, peer, http, rng)
         parts = EntryParts(
-            row, platform, hub, client, SystemClocks(), rng, settings.poll_interval_s
+            row,
+            platform,
+            transport,
+            client,
+            SystemClocks(),
+            rng,
+            settings.poll_interval_s,
         )
-        hub.on_frame = parts.handle_frame
+        transport.on_frame = parts.handle_frame
         parts.metrics.gauges.update(
-            peer_bytes=lambda: hub.bytes_in + hub.bytes_out,
-            platform_bytes=lambda: platform.bytes_moved,
+            peer_bytes=lambda: transport.bytes_in + transport.bytes_out,
+            platform_bytes=lambda: platform.bytes_transferred,
+        )
+        late.front = HttpFront(
+            parts.pipeline, parts, lambda: f"{rng.getrandbits(96):024x}"
         )
-        late.front = HttpFront(parts.pipe, parts, lambda: f"{rng.getrandbits(96):024x}")
         group.start_soon(parts.run)
         group.start_soon(client.prune)
         _LOG.info("started", http=str(http), peer=str(peer))
@@ -270,7 +278,7 @@
 async def _stop_gracefully(
     parts: EntryParts, server: HttpServer, settings: Settings
 ) -> None:
-    _LOG.info("stopping", in_flight=parts.pipe.in_flight)
+    _LOG.info("stopping", in_flight=parts.pipeline.in_flight)
     parts.stopping = True
     parts.node.mark_stopping()
     # the balancer needs a moment to see that we are not ready
--- a/src/onyxgap/daemons/follower.py
+++ b/src/onyxgap/daemons/follower.py
@@ -7,7 +7,7 @@
 import attrs
 import structlog
 
-from ..exceptions import HistoryLostError
+from ..exceptions import HistoryTruncatedError
 from ..exceptions import PlatformUnavailableError
 from ..jobs.store import Page
 from ..jobs.store import Store
@@ -65,7 +65,7 @@
                 delay = RETRY_MIN_S
                 if self.pause_s and waits:
                     await anyio.sleep(self.pause_s)
-            except HistoryLostError:
+            except HistoryTruncatedError:
                 _LOG.info("history lost, reading again", table=self.table)
                 self.after = 0
             except PlatformUnavailableError:
--- a/src/onyxgap/daemons/node_process.py
+++ b/src/onyxgap/daemons/node_process.py
@@ -19,17 +19,17 @@
 from ..jobs.passing import CallLink
 from ..jobs.passing import NoCallLink
 from ..jobs.settings import NodeSettings
-from ..logs import BoundedLines
+from ..logs import BoundedLogWriter
 from ..metrics import Metrics
 from ..platform import registry
-from ..platform.advice import PlatformAdvice
-from ..platform.callers import CallerApp
-from ..platform.callers import ReadyApp
-from ..platform.cloud import PlatformCloud
+from ..platform.advice import PlatformPolicyClient
+from ..platform.cloud import PlatformCloudClient
 from ..platform.http import HttpClient
+from ..platform.job_api import JobApiApp
+from ..platform.job_api import ProbeApp
 from ..platform.settings import load_settings
 from ..platform.store import PlatformStore
-from ..platform.workers import PlatformWorkers
+from ..platform.workers import PlatformWorkerClient
 from ..settings import Address
 from .node import Node
 from .node_view import Decoders
@@ -87,13 +87,15 @@
     store = PlatformStore(HttpClient(settings.store, STORE_CONNECTIONS))
     adviser = None
     if settings.advice != "-":
-        adviser = PlatformAdvice(HttpClient(settings.advice))
+        adviser = PlatformPolicyClient(HttpClient(settings.advice))
     return Node(
         settings,
         WatchedStore(store, health, clocks),
         health,
-        PlatformWorkers(),
-        None if settings.cloud == "-" else PlatformCloud(HttpClient(settings.cloud)),
+        PlatformWorkerClient(),
+        None
+        if settings.cloud == "-"
+        else PlatformCloudClient(HttpClient(settings.cloud)),
         DECODERS,
         clocks,
         random.Random(os.urandom(8)),
@@ -104,7 +106,7 @@
     )
 
 
-def build_metrics(node: Node, lines: BoundedLines) -> Metrics:
+def build_metrics(node: Node, lines: BoundedLogWriter) -> Metrics:
     """Build the metrics of a node.
 
     :param node: the node; its desk counts answers from now on.
@@ -151,7 +153,7 @@
 
 
 async def run_node_process(
-    path: str, lines: BoundedLines, metrics_port: int = 0
+    path: str, lines: BoundedLogWriter, metrics_port: int = 0
 ) -> int:
     """Run a node until it is told to stop.
 
@@ -164,9 +166,9 @@
     node = build_node(settings)
     render = build_metrics(node, lines).render
     _LOG.info("start", boot=node.boot, zone=settings.zone, store=settings.store)
-    callers = CallerApp(node.front)
+    callers = JobApiApp(node.front)
     front = HttpServer(callers, settings.front, CLOSE_LIMIT_S)
-    probes = ReadyApp(node.front, render)
+    probes = ProbeApp(node.front, render)
     ready = HttpServer(probes, settings.ready, CLOSE_LIMIT_S)
     with anyio.open_signal_receiver(
         signal.SIGTERM, signal.SIGINT, signal.SIGHUP
@@ -205,7 +207,7 @@
 
 
 async def _stop(
-    node: Node, callers: CallerApp, front: HttpServer, ready: HttpServer
+    node: Node, callers: JobApiApp, front: HttpServer, ready: HttpServer
 ) -> None:
     _LOG.info("stopping", owned=len(node.owners))
     callers.closing = True
--- a/src/onyxgap/daemons/retention.py
+++ b/src/onyxgap/daemons/retention.py
@@ -51,7 +51,7 @@
         :param membership: the members as this process sees them.
         :param now: monotonic seconds.
         """
-        gone = membership.list_forgotten(now, defaults.MEMBER_FORGET_S)
+        gone = membership.list_expired_rows(now, defaults.MEMBER_ROW_EXPIRY_S)
         await self._remove(
             [Put(f"{MEMBER_PREFIX}{name}", None, version) for name, version in gone]
         )
--- a/src/onyxgap/exceptions.py
+++ b/src/onyxgap/exceptions.py
@@ -63,7 +63,7 @@
     """A peer sent bytes that are not a valid frame."""
 
 
-class HistoryLostError(OnyxgapError):
+class HistoryTruncatedError(OnyxgapError):
     """The store no longer has the requested changes; the table must be read in full."""
 
 
--- a/src/onyxgap/fleet/diagnosis.py
+++ b/src/onyxgap/fleet/diagnosis.py
@@ -7,7 +7,7 @@
 from ..shared.records import TaskHistory
 
 
-def find_unrunnable(tasks: t.Mapping[str, TaskHistory]) -> set[str]:
+def find_unrunnable_tasks(tasks: t.Mapping[str, TaskHistory]) -> set[str]:
     """Find tasks that never succeeded and failed or lost their VMs several times.
 
     Lost VMs count too: a task that crashes its VMs never reports a failure, and
@@ -22,12 +22,12 @@
         if not history.done
         and (
             len(history.failed_on) >= defaults.UNRUNNABLE_DISTINCT_WORKERS
-            or history.lost_in_a_row >= defaults.UNRUNNABLE_LOSSES_IN_A_ROW
+            or history.lost_in_a_row >= defaults.UNRUNNABLE_CONSECUTIVE_LOSSES
         )
     }
 
 
-def find_faulty(tasks: t.Mapping[str, TaskHistory]) -> set[str]:
+def find_faulty_vms(tasks: t.Mapping[str, TaskHistory]) -> set[str]:
     """Find VMs on which several tasks failed that succeed on other VMs.
 
     :param tasks: task history by task name.
--- a/src/onyxgap/fleet/maintenance.py
+++ b/src/onyxgap/fleet/maintenance.py
@@ -14,7 +14,7 @@
 FAILED_SHARE_LIMIT = 0.1
 
 
-def find_due_at(record: VmRecord, pool: Pool, cycle_days: int) -> float:
+def get_maintenance_start(record: VmRecord, pool: Pool, cycle_days: int) -> float:
     """Find the latest time at which a VM's maintenance should start.
 
     The lead time grows with the size of the pool, since its VMs are maintained
@@ -40,7 +40,7 @@
     return wall > record.maintained_at + cycle_days * DAY_S
 
 
-def find_halt(records: t.Sequence[VmRecord]) -> str:
+def get_halt_reason(records: t.Sequence[VmRecord]) -> str:
     """Explain why a maintenance wave must halt.
 
     :param records: VMs of the pool.
@@ -52,7 +52,7 @@
     return ""
 
 
-def order_wave(
+def select_maintenance_wave(
     records: t.Sequence[VmRecord],
     pool: Pool,
     cycle_days: int,
@@ -75,7 +75,7 @@
         record
         for record in records
         if record.state is VmState.SERVING
-        and wall >= find_due_at(record, pool, cycle_days)
+        and wall >= get_maintenance_start(record, pool, cycle_days)
     ]
     if not due:
         return []
--- a/src/onyxgap/fleet/messages.py
+++ b/src/onyxgap/fleet/messages.py
@@ -72,31 +72,31 @@
 
 
 @attrs.frozen
-class View:
+class PassInput:
     """Input of a reconciliation pass.
 
     :param state: replicated state.
     :param observation: VMs as the platform lists them.
     :param wall: wall-clock time in seconds, for maintenance cycles and grace periods.
-    :param acknowledged: lowest of the journal sequences that the
+    :param min_applied_sequence: lowest of the journal sequences that the
         live entry processes have applied.
     :param in_flight: requests in flight by draining VM, summed over the live entry
         processes.
-    :param cautious: whether voluntary disruptions and repairs are suspended.
+    :param safe_mode: whether voluntary disruptions and repairs are suspended.
     :param drain_grace_s: grace period of a draining VM in seconds.
     """
 
     state: FleetState
     observation: Observation
     wall: float
-    acknowledged: int
+    min_applied_sequence: int
     in_flight: t.Mapping[str, int]
-    cautious: bool = False
+    safe_mode: bool = False
     drain_grace_s: float = 30.0
 
 
 @attrs.define
-class Step:
+class PoolPlan:
     """Result of a reconciliation pass for one pool.
 
     :param pool: name of the pool.
@@ -121,7 +121,7 @@
         self.reports.append(Report(finding, subject, reason))
 
 
-def find_wanted(state: FleetState, name: str) -> Pool:
+def get_declared_pool(state: FleetState, name: str) -> Pool:
     """Find the declaration of a pool.
 
     A pool that is no longer declared gets a declaration without VMs, so that its
--- a/src/onyxgap/fleet/observation.py
+++ b/src/onyxgap/fleet/observation.py
@@ -28,7 +28,7 @@
     @property
     def is_stale(self) -> bool:
         """Whether the list is too old to start voluntary disruptions."""
-        return self.age_s > defaults.STALE_VIEW_LIMIT_S
+        return self.age_s > defaults.MAX_VM_LIST_AGE_S
 
     def is_live(self, vm: str) -> bool:
         """Whether the newest list shows a VM as running.
@@ -54,17 +54,19 @@
     Lists lag and may omit a running VM, so one absence is no proof. A VM is missing
     after several consecutive absences, and present again after one appearance.
 
-    :param needed: consecutive absences after which a VM is missing.
+    :param min_absences: consecutive absences after which a VM is missing.
     """
 
-    needed: int = defaults.ABSENT_OBSERVATIONS
+    min_absences: int = defaults.MIN_CONSECUTIVE_ABSENCES
     _absences: dict[str, int] = attrs.field(factory=dict)
     _listed: dict[str, ListedVm] = attrs.field(factory=dict)
     _contradictory: frozenset[str] = frozenset()
     _vms: tuple[ListedVm, ...] | None = None
     _made_at: float = float("-inf")
 
-    def take(self, vm_list: VmList, known: t.Collection[str], now: float) -> None:
+    def record_list(
+        self, vm_list: VmList, known: t.Collection[str], now: float
+    ) -> None:
         """Record a list; one that is not newer than the last is ignored.
 
         :param vm_list: the list.
@@ -107,7 +109,7 @@
         :param now: monotonic time in seconds.
         """
         missing = frozenset(
-            vm for vm, count in self._absences.items() if count >= self.needed
+            vm for vm, count in self._absences.items() if count >= self.min_absences
         )
         return Observation(
             listed=self._listed,
--- a/src/onyxgap/fleet/pipe.py
+++ b/src/onyxgap/fleet/pipe.py
@@ -10,12 +10,12 @@
 from ..shared.records import VmState
 from ..shared.state import FleetState
 from .budget import count_headroom
-from .diagnosis import find_faulty
-from .maintenance import find_due_at
+from .diagnosis import find_faulty_vms
+from .maintenance import get_maintenance_start
 from .messages import Finding
-from .messages import Step
-from .messages import View
-from .messages import find_wanted
+from .messages import PassInput
+from .messages import PoolPlan
+from .messages import get_declared_pool
 from .placement import TeamCores
 from .placement import place_tasks
 from .planning import FreeVms
@@ -31,7 +31,7 @@
     :param state: replicated state.
     :returns: sorted names.
     """
-    names = {name for name, vms in state.members.items() if vms}
+    names = {name for name, vms in state.pool_vms.items() if vms}
     for chunk in state.chunks:
         part, _, name = chunk.partition("/")
         if part == "pools":
@@ -65,80 +65,83 @@
 
     _pass_number: int = 0
 
-    def choose(self, owned: t.Sequence[str], view: View) -> list[str]:
+    def choose(self, owned: t.Sequence[str], pass_input: PassInput) -> list[str]:
         """Choose the pools of the next pass.
 
         :param owned: names of the pools that this control process reconciles.
-        :param view: input of the reconciliation pass.
+        :param pass_input: input of the reconciliation pass.
         """
         self._pass_number += 1
         chosen = []
         for index, name in enumerate(owned):
             due = (index + self._pass_number) % IDLE_POOL_INTERVAL_PASSES == 0
-            if due or needs_reconciliation(name, view):
+            if due or needs_reconciliation(name, pass_input):
                 chosen.append(name)
         return chosen
 
 
-def needs_reconciliation(name: str, view: View) -> bool:
+def needs_reconciliation(name: str, pass_input: PassInput) -> bool:
     """Whether a pool may need events or orders.
 
     :param name: name of the pool.
-    :param view: input of the reconciliation pass.
+    :param pass_input: input of the reconciliation pass.
     """
-    pool = find_wanted(view.state, name)
-    members = view.state.members.get(name, set())
-    if len(members) != pool.size:
+    pool = get_declared_pool(pass_input.state, name)
+    pool_vms = pass_input.state.pool_vms.get(name, set())
+    if len(pool_vms) != pool.size:
         return True
-    days = view.state.maintenance_days
-    for vm in members:
-        record = view.state.vms[vm]
+    days = pass_input.state.maintenance_days
+    for vm in pool_vms:
+        record = pass_input.state.vms[vm]
         if record.state is not VmState.SERVING:
             return True
-        listed = view.observation.listed.get(vm)
+        listed = pass_input.observation.listed.get(vm)
         if listed is None or listed.boots != record.boots:
             return True
-        if not view.observation.is_live(vm):
+        if not pass_input.observation.is_live(vm):
             return True
-        if view.wall >= find_due_at(record, pool, days):
+        if pass_input.wall >= get_maintenance_start(record, pool, days):
             return True
-    return bool(view.state.tasks_in.get(name) or view.state.attempts_in.get(name))
+    return bool(
+        pass_input.state.pool_tasks.get(name)
+        or pass_input.state.pool_attempts.get(name)
+    )
 
 
 def plan_pass(
-    pools: t.Iterable[str], view: View, listed: t.Mapping[str, ListedTask]
-) -> list[Step]:
+    pools: t.Iterable[str], pass_input: PassInput, listed: t.Mapping[str, ListedTask]
+) -> list[PoolPlan]:
     """Plan the changes of several pools against the same state.
 
     :param pools: names of the pools.
-    :param view: input of the reconciliation pass.
+    :param pass_input: input of the reconciliation pass.
     :param listed: task attempts as the platform reports them, by attempt ID.
     :returns: one plan per pool.
     """
-    free = FreeVms(view)
-    team_cores = TeamCores(view.state)
-    steps = []
-    faulty_vms = find_faulty(view.state.tasks)
+    free = FreeVms(pass_input)
+    team_cores = TeamCores(pass_input.state)
+    pool_plans = []
+    faulty_vms = find_faulty_vms(pass_input.state.tasks)
     for name in pools:
-        step = plan_pool(name, view, free)
-        _quarantine_faulty_vms(name, faulty_vms, view, step)
-        place_tasks(name, view.state, listed, team_cores, step)
-        steps.append(step)
-    return steps
+        pool_plan = plan_pool(name, pass_input, free)
+        _quarantine_faulty_vms(name, faulty_vms, pass_input, pool_plan)
+        place_tasks(name, pass_input.state, listed, team_cores, pool_plan)
+        pool_plans.append(pool_plan)
+    return pool_plans
 
 
 def _quarantine_faulty_vms(
-    name: str, faulty_vms: set[str], view: View, step: Step
+    name: str, faulty_vms: set[str], pass_input: PassInput, pool_plan: PoolPlan
 ) -> None:
-    pool = find_wanted(view.state, name)
-    changed_vms = {getattr(event, "vm", "") for event in step.events}
-    records = [r for r in view.state.list_pool(name) if r.name not in changed_vms]
+    pool = get_declared_pool(pass_input.state, name)
+    changed_vms = {getattr(event, "vm", "") for event in pool_plan.events}
+    records = [r for r in pass_input.state.list_pool(name) if r.name not in changed_vms]
     headroom = count_headroom(pool, records)
     for record in records:
         if record.name not in faulty_vms or record.state is not VmState.SERVING:
             continue
         reason = "fails tasks that run well elsewhere"
-        step.report(Finding.FAULTY_WORKER, record.name, reason)
-        if headroom > 0 and not view.cautious:
+        pool_plan.report(Finding.FAULTY_WORKER, record.name, reason)
+        if headroom > 0 and not pass_input.safe_mode:
             headroom -= 1
-            step.events.append(ev.VmQuarantined(record.name, reason))
+            pool_plan.events.append(ev.VmQuarantined(record.name, reason))
--- a/src/onyxgap/fleet/placement.py
+++ b/src/onyxgap/fleet/placement.py
@@ -17,11 +17,11 @@
 from ..shared.records import TaskHistory
 from ..shared.records import VmState
 from ..shared.state import FleetState
-from .diagnosis import find_unrunnable
+from .diagnosis import find_unrunnable_tasks
 from .learning import TaskSize
 from .learning import estimate_size
 from .messages import Finding
-from .messages import Step
+from .messages import PoolPlan
 from .messages import StopOrder
 
 EVACUATION_STATES = (VmState.DRAINING, VmState.QUARANTINED)
@@ -108,7 +108,7 @@
 @attrs.define
 class _PlacementPass:
     state: FleetState
-    step: Step
+    pool_plan: PoolPlan
     tasks: dict[str, Task]
     workers: list[Worker]
     running: dict[str, list[Attempt]]
@@ -119,7 +119,7 @@
     state: FleetState,
     attempts: t.Iterable[Attempt],
     listed: t.Mapping[str, ListedTask],
-    step: Step,
+    pool_plan: PoolPlan,
 ) -> None:
     """Reconcile the recorded attempts of a pool with those that the platform reports.
 
@@ -129,12 +129,13 @@
     :param state: the replicated state.
     :param attempts: attempts of the pool.
     :param listed: attempts reported by the platform, by name.
-    :param step: result of the pass for this pool; events and orders are added to it.
+    :param pool_plan: result of the pass for this pool; events and orders are added to
+        it.
     """
     for attempt in attempts:
         reported = listed.get(attempt.attempt)
         if reported is not None and reported.status in _OUTCOMES:
-            step.events.append(
+            pool_plan.events.append(
                 ev.TaskEnded(
                     attempt=attempt.attempt,
                     outcome=_OUTCOMES[reported.status],
@@ -144,9 +145,9 @@
                 )
             )
         elif attempt.stopping:
-            step.orders.append(StopOrder(attempt.attempt))
+            pool_plan.orders.append(StopOrder(attempt.attempt))
         elif reported is None:
-            step.orders.append(_build_start_order(state, attempt))
+            pool_plan.orders.append(_build_start_order(state, attempt))
 
 
 def _build_start_order(state: FleetState, attempt: Attempt) -> StartTask:
@@ -165,7 +166,7 @@
     state: FleetState,
     listed: t.Mapping[str, ListedTask],
     team_cores: TeamCores,
-    step: Step,
+    pool_plan: PoolPlan,
 ) -> None:
     """Reconcile the tasks of one pool with the manifest.
 
@@ -173,14 +174,16 @@
     :param state: the replicated state.
     :param listed: attempts reported by the platform, by name.
     :param team_cores: cores in use by each team, shared by all pools of the pass.
-    :param step: result of the pass for this pool so far; extended in place.
+    :param pool_plan: result of the pass for this pool so far; extended in place.
     """
-    changed_vms = {getattr(event, "vm", "") for event in step.events}
-    attempts = list(state.attempts_in.get(pool, {}).values())
-    if not attempts and not state.tasks_in.get(pool):
+    changed_vms = {getattr(event, "vm", "") for event in pool_plan.events}
+    attempts = list(state.pool_attempts.get(pool, {}).values())
+    if not attempts and not state.pool_tasks.get(pool):
         return
-    reconcile_attempts(state, attempts, listed, step)
-    ended_attempts = {e.attempt for e in step.events if isinstance(e, ev.TaskEnded)}
+    reconcile_attempts(state, attempts, listed, pool_plan)
+    ended_attempts = {
+        e.attempt for e in pool_plan.events if isinstance(e, ev.TaskEnded)
+    }
     running_attempts = [
         attempt for attempt in attempts if attempt.attempt not in ended_attempts
     ]
@@ -189,7 +192,7 @@
         attempt.task for attempt in attempts if attempt.attempt in ended_attempts
     }
     placement = _begin_pass(
-        pool, state, running_attempts, changed_vms, team_cores, step
+        pool, state, running_attempts, changed_vms, team_cores, pool_plan
     )
     _stop_attempts(placement)
     for task in _order_tasks(placement):
@@ -203,9 +206,9 @@
     attempts: list[Attempt],
     changed_vms: set[str],
     team_cores: TeamCores,
-    step: Step,
+    pool_plan: PoolPlan,
 ) -> _PlacementPass:
-    tasks = state.tasks_in.get(pool, {})
+    tasks = state.pool_tasks.get(pool, {})
     running: dict[str, list[Attempt]] = collections.defaultdict(list)
     by_vm: dict[str, list[Attempt]] = collections.defaultdict(list)
     for attempt in attempts:
@@ -225,7 +228,7 @@
             for attempt in worker.attempts:
                 worker.adjust_free(-attempt.cores, -attempt.memory_gb)
             workers.append(worker)
-    return _PlacementPass(state, step, tasks, workers, running, team_cores)
+    return _PlacementPass(state, pool_plan, tasks, workers, running, team_cores)
 
 
 def _stop_attempts(placement: _PlacementPass) -> None:
@@ -253,7 +256,7 @@
 
 
 def _stop_attempt(placement: _PlacementPass, attempt: Attempt, reason: str) -> None:
-    placement.step.events.append(ev.TaskStopping(attempt.attempt, reason))
+    placement.pool_plan.events.append(ev.TaskStopping(attempt.attempt, reason))
 
 
 def _order_tasks(placement: _PlacementPass) -> list[Task]:
@@ -271,13 +274,13 @@
 
 def _place_task(placement: _PlacementPass, task: Task) -> None:
     history = placement.state.tasks.get(task.name)
-    if history is not None and task.name in find_unrunnable({task.name: history}):
+    if history is not None and task.name in find_unrunnable_tasks({task.name: history}):
         reason = _explain_unrunnable(history)
-        placement.step.report(Finding.UNRUNNABLE, task.name, reason)
+        placement.pool_plan.report(Finding.UNRUNNABLE, task.name, reason)
         return
     if history is not None and history.lost and not task.idempotent:
         reason = f"{history.lost} attempts lost; they may have run"
-        placement.step.report(Finding.LOST_TASK, task.name, reason)
+        placement.pool_plan.report(Finding.LOST_TASK, task.name, reason)
     size = estimate_size(task, history)
     started = history.started if history else 0
     for number in range(_count_missing(placement, task)):
@@ -288,7 +291,7 @@
 
 
 def _explain_unrunnable(history: TaskHistory) -> str:
-    if history.lost_in_a_row >= defaults.UNRUNNABLE_LOSSES_IN_A_ROW:
+    if history.lost_in_a_row >= defaults.UNRUNNABLE_CONSECUTIVE_LOSSES:
         return f"{history.lost_in_a_row} VMs were lost under it and it never ran"
     return f"failed on {', '.join(history.failed_on)} and never ran"
 
@@ -298,16 +301,18 @@
 ) -> bool:
     if not _is_within_quota(placement, task, size):
         reason = f"team {task.team} has its cores in use"
-        placement.step.report(Finding.OVER_QUOTA, task.name, reason)
+        placement.pool_plan.report(Finding.OVER_QUOTA, task.name, reason)
         return False
     worker = _choose_worker(placement, task, size)
     if worker is None:
         if task.priority is Priority.URGENT and _preempt(placement, size):
             return False
-        placement.step.report(Finding.NO_ROOM, task.name, "no worker has room for it")
+        placement.pool_plan.report(
+            Finding.NO_ROOM, task.name, "no worker has room for it"
+        )
         return False
     event = ev.TaskStarted(task.name, attempt, worker.vm, size.cores, size.memory_gb)
-    placement.step.events.append(event)
+    placement.pool_plan.events.append(event)
     worker.adjust_free(-size.cores, -size.memory_gb)
     started_attempt = Attempt(
         attempt, task.name, worker.vm, task.pool, size.cores, size.memory_gb, 0.0
--- a/src/onyxgap/fleet/planning.py
+++ b/src/onyxgap/fleet/planning.py
@@ -15,15 +15,15 @@
 from .budget import Budget
 from .budget import count_headroom
 from .lifecycle import advance_vm
-from .maintenance import find_halt
+from .maintenance import get_halt_reason
 from .maintenance import is_overdue
-from .maintenance import order_wave
+from .maintenance import select_maintenance_wave
 from .messages import Finding
-from .messages import Step
-from .messages import View
-from .messages import find_wanted
+from .messages import PassInput
+from .messages import PoolPlan
+from .messages import get_declared_pool
 from .pricing import MaintenanceOption
-from .pricing import list_options
+from .pricing import list_maintenance_options
 
 _REMOVAL_PURPOSES = (ev.Purpose.SURPLUS, ev.Purpose.MOVE, ev.Purpose.PLATFORM)
 
@@ -34,20 +34,23 @@
 
     They are collected when a pool needs one for the first time.
 
-    :param view: input of the reconciliation pass.
+    :param pass_input: input of the reconciliation pass.
     """
 
-    view: View
+    pass_input: PassInput
     _by_zone: dict[str, list[ListedVm]] | None = None
 
     def collect(self) -> dict[str, list[ListedVm]]:
         """Return the live VMs without a pool, by availability zone."""
         if self._by_zone is None:
             self._by_zone = collections.defaultdict(list)
-            free = self.view.observation.listed.keys() - self.view.state.vms.keys()
+            free = (
+                self.pass_input.observation.listed.keys()
+                - self.pass_input.state.vms.keys()
+            )
             for name in sorted(free):
-                if self.view.observation.is_live(name):
-                    vm = self.view.observation.listed[name]
+                if self.pass_input.observation.is_live(name):
+                    vm = self.pass_input.observation.listed[name]
                     self._by_zone[vm.zone].append(vm)
         return self._by_zone
 
@@ -67,37 +70,42 @@
         return best
 
 
-def plan_pool(name: str, view: View, free: FreeVms) -> Step:
+def plan_pool(name: str, pass_input: PassInput, free: FreeVms) -> PoolPlan:
     """Plan the next step of one pool.
 
     :param name: name of the pool.
-    :param view: input of the reconciliation pass.
+    :param pass_input: input of the reconciliation pass.
     :param free: free VMs, shared by all pools of the pass.
     """
-    step = Step(name)
-    pool = find_wanted(view.state, name)
-    records = view.state.list_pool(name)
+    pool_plan = PoolPlan(name)
+    pool = get_declared_pool(pass_input.state, name)
+    records = pass_input.state.list_pool(name)
     for record in records:
-        advance_vm(record, view, step)
-    changed_vms = {getattr(event, "vm", "") for event in step.events}
-    budget = _build_budget(pool, records, changed_vms, view)
-    _plan_sizes(pool, records, changed_vms, budget, view, free, step)
-    _plan_maintenance(pool, records, changed_vms, budget, view, step)
-    return step
+        advance_vm(record, pass_input, pool_plan)
+    changed_vms = {getattr(event, "vm", "") for event in pool_plan.events}
+    budget = _build_budget(pool, records, changed_vms, pass_input)
+    _plan_sizes(pool, records, changed_vms, budget, pass_input, free, pool_plan)
+    _plan_maintenance(pool, records, changed_vms, budget, pass_input, pool_plan)
+    return pool_plan
 
 
 def _build_budget(
-    pool: Pool, records: t.Sequence[VmRecord], changed_vms: set[str], view: View
+    pool: Pool,
+    records: t.Sequence[VmRecord],
+    changed_vms: set[str],
+    pass_input: PassInput,
 ) -> Budget:
     # VMs that an event of this pass already changes count as out of service.
     unchanged = [record for record in records if record.name not in changed_vms]
     remaining = count_headroom(pool, unchanged)
     blocked_reason = ""
-    if view.observation.is_stale:
-        blocked_reason = f"the list of VMs is {view.observation.age_s:.0f} s old"
-    elif view.cautious:
+    if pass_input.observation.is_stale:
+        blocked_reason = f"the list of VMs is {pass_input.observation.age_s:.0f} s old"
+    elif pass_input.safe_mode:
         blocked_reason = "too few entries or no store: nothing voluntary starts"
-    return Budget(min(remaining, defaults.MAX_VOLUNTARY_PER_PASS), blocked_reason)
+    return Budget(
+        min(remaining, defaults.MAX_VOLUNTARY_DISRUPTIONS_PER_PASS), blocked_reason
+    )
 
 
 def _counts_toward_size(record: VmRecord) -> bool:
@@ -113,9 +121,9 @@
     records: t.Sequence[VmRecord],
     changed_vms: set[str],
     budget: Budget,
-    view: View,
+    pass_input: PassInput,
     free: FreeVms,
-    step: Step,
+    pool_plan: PoolPlan,
 ) -> None:
     counted: dict[str, list[VmRecord]] = collections.defaultdict(list)
     for record in records:
@@ -124,24 +132,31 @@
     for zone in sorted({*pool.zones, *counted}):
         difference = pool.zones.get(zone, 0) - len(counted[zone])
         if difference > 0:
-            _add_vms(pool, zone, difference, budget, free, step)
+            _add_vms(pool, zone, difference, budget, free, pool_plan)
         elif difference < 0:
             drainable = [
                 record for record in counted[zone] if record.name not in changed_vms
             ]
-            _drain_surplus(pool, drainable, -difference, budget, view.state, step)
+            _drain_surplus(
+                pool, drainable, -difference, budget, pass_input.state, pool_plan
+            )
 
 
 def _add_vms(
-    pool: Pool, zone: str, count: int, budget: Budget, free: FreeVms, step: Step
+    pool: Pool,
+    zone: str,
+    count: int,
+    budget: Budget,
+    free: FreeVms,
+    pool_plan: PoolPlan,
 ) -> None:
     for missing in range(count, 0, -1):
         vm = free.take(zone, pool)
         if vm is None:
             reason = f"{missing} VMs short in {zone}: no free VM of its shape"
-            step.report(Finding.SHORT_OF_VMS, pool.name, reason)
+            pool_plan.report(Finding.SHORT_OF_VMS, pool.name, reason)
             return
-        step.events.append(
+        pool_plan.events.append(
             ev.VmJoined(
                 vm=vm.name,
                 pool=pool.name,
@@ -162,7 +177,7 @@
     count: int,
     budget: Budget,
     state: FleetState,
-    step: Step,
+    pool_plan: PoolPlan,
 ) -> None:
     tasks = state.count_attempts(pool.name)
     serving = [record for record in records if record.state is VmState.SERVING]
@@ -170,27 +185,27 @@
         :count
     ]:
         if not budget.try_take():
-            step.report(Finding.NO_BUDGET, pool.name, budget.explain_refusal(pool))
+            pool_plan.report(Finding.NO_BUDGET, pool.name, budget.explain_refusal(pool))
             return
-        step.events.append(ev.VmDraining(record.name, ev.Purpose.SURPLUS))
+        pool_plan.events.append(ev.VmDraining(record.name, ev.Purpose.SURPLUS))
 
 
 def list_pool_options(
-    pool: Pool, view: View, wave: t.Sequence[VmRecord], headroom: int
+    pool: Pool, pass_input: PassInput, wave: t.Sequence[VmRecord], headroom: int
 ) -> list[MaintenanceOption]:
     """List the options for maintaining a wave of VMs, cheapest first.
 
     :param pool: the pool.
-    :param view: input of the reconciliation pass.
+    :param pass_input: input of the reconciliation pass.
     :param wave: VMs that are due for maintenance, in order.
     :param headroom: maximum number of VMs out of service at once.
     """
-    manifest = view.state.manifest
+    manifest = pass_input.state.manifest
     if manifest is None:
         return []
-    tasks = view.state.count_attempts(pool.name)
+    tasks = pass_input.state.count_attempts(pool.name)
     loads = [tasks(record.name) for record in wave]
-    return list_options(loads, max(0, headroom), manifest.weights)
+    return list_maintenance_options(loads, max(0, headroom), manifest.weights)
 
 
 def _plan_maintenance(
@@ -198,30 +213,30 @@
     records: t.Sequence[VmRecord],
     changed_vms: set[str],
     budget: Budget,
-    view: View,
-    step: Step,
+    pass_input: PassInput,
+    pool_plan: PoolPlan,
 ) -> None:
-    manifest = view.state.manifest
+    manifest = pass_input.state.manifest
     if manifest is None:
         return
     days = manifest.maintenance_days
-    tasks = view.state.count_attempts(pool.name)
-    wave = order_wave(records, pool, days, view.wall, tasks)
+    tasks = pass_input.state.count_attempts(pool.name)
+    wave = select_maintenance_wave(records, pool, days, pass_input.wall, tasks)
     wave = [record for record in wave if record.name not in changed_vms]
     if not wave:
         return
-    halt = find_halt(records)
+    halt = get_halt_reason(records)
     if halt:
         budget.blocked_reason = budget.blocked_reason or halt
-        step.report(Finding.HALTED, pool.name, halt)
-    options = list_pool_options(pool, view, wave, pool.max_out)
+        pool_plan.report(Finding.HALTED, pool.name, halt)
+    options = list_pool_options(pool, pass_input, wave, pool.max_out)
     parallel = options[0].parallel if options else 0
     in_maintenance = sum(record.purpose is ev.Purpose.MAINTENANCE for record in records)
     for record in wave[: max(0, parallel - in_maintenance)]:
         if not budget.try_take():
             break
-        step.events.append(ev.VmDraining(record.name, ev.Purpose.MAINTENANCE))
-    _report_overdue(pool, records, days, budget, view, step)
+        pool_plan.events.append(ev.VmDraining(record.name, ev.Purpose.MAINTENANCE))
+    _report_overdue(pool, records, days, budget, pass_input, pool_plan)
 
 
 def _report_overdue(
@@ -229,10 +244,12 @@
     records: t.Sequence[VmRecord],
     days: int,
     budget: Budget,
-    view: View,
-    step: Step,
+    pass_input: PassInput,
+    pool_plan: PoolPlan,
 ) -> None:
-    overdue = [record.name for record in records if is_overdue(record, days, view.wall)]
+    overdue = [
+        record.name for record in records if is_overdue(record, days, pass_input.wall)
+    ]
     if overdue:
         reason = f"{len(overdue)} VMs past {days} days: {budget.explain_refusal(pool)}"
-        step.report(Finding.OVERDUE, pool.name, reason)
+        pool_plan.report(Finding.OVERDUE, pool.name, reason)
--- a/src/onyxgap/fleet/pricing.py
+++ b/src/onyxgap/fleet/pricing.py
@@ -52,7 +52,7 @@
     )
 
 
-def list_options(
+def list_maintenance_options(
     tasks_by_vm: t.Sequence[int], headroom: int, weights: Weights
 ) -> list[MaintenanceOption]:
     """List options for taking a number of VMs out of service, cheapest first.
--- a/src/onyxgap/fleet/report.py
+++ b/src/onyxgap/fleet/report.py
@@ -5,9 +5,9 @@
 import attrs
 
 from ..shared.records import VmState
-from .maintenance import order_wave
-from .messages import View
-from .messages import find_wanted
+from .maintenance import select_maintenance_wave
+from .messages import PassInput
+from .messages import get_declared_pool
 from .pipe import list_pools
 from .planning import FreeVms
 from .planning import list_pool_options
@@ -41,16 +41,16 @@
             yield f"next best plan: {self.next_price:.2f}"
 
 
-def summarize_plan(view: View) -> PlanSummary:
+def summarize_plan(pass_input: PassInput) -> PlanSummary:
     """Summarize the maintenance plan of all pools: the cheapest option of each.
 
-    :param view: input of the reconciliation pass.
+    :param pass_input: input of the reconciliation pass.
     """
-    options = [_list_options(name, view) for name in list_pools(view.state)]
+    options = [_list_options(name, pass_input) for name in list_pools(pass_input.state)]
     chosen = [pool_options[0] for pool_options in options if pool_options]
-    free = sum(map(len, FreeVms(view).collect().values()))
+    free = sum(map(len, FreeVms(pass_input).collect().values()))
     out_of_service = sum(
-        record.state is not VmState.SERVING for record in view.state.vms.values()
+        record.state is not VmState.SERVING for record in pass_input.state.vms.values()
     )
     price = sum(option.price for option in chosen)
     return PlanSummary(
@@ -62,19 +62,19 @@
     )
 
 
-def _list_options(name: str, view: View) -> list[MaintenanceOption]:
-    manifest = view.state.manifest
+def _list_options(name: str, pass_input: PassInput) -> list[MaintenanceOption]:
+    manifest = pass_input.state.manifest
     if manifest is None:
         return []
-    pool = find_wanted(view.state, name)
-    wave = order_wave(
-        view.state.list_pool(name),
+    pool = get_declared_pool(pass_input.state, name)
+    wave = select_maintenance_wave(
+        pass_input.state.list_pool(name),
         pool,
         manifest.maintenance_days,
-        view.wall,
-        view.state.count_attempts(name),
+        pass_input.wall,
+        pass_input.state.count_attempts(name),
     )
-    return list_pool_options(pool, view, wave, pool.max_out)
+    return list_pool_options(pool, pass_input, wave, pool.max_out)
 
 
 def _compute_next_price(
--- a/src/onyxgap/jobs/store.py
+++ b/src/onyxgap/jobs/store.py
@@ -141,6 +141,6 @@
     async def follow(self, table: str, after: int, wait_s: float) -> Page:
         """Wait for changes of a table after a version.
 
-        :raises HistoryLostError: when the store no longer has the changes.
+        :raises HistoryTruncatedError: when the store no longer has the changes.
         :raises PlatformUnavailableError: when no answer came.
         """
--- a/src/onyxgap/logs.py
+++ b/src/onyxgap/logs.py
@@ -66,7 +66,7 @@
 
 
 @attrs.define
-class BoundedLines:
+class BoundedLogWriter:
     """Writes lines without blocking; drops and counts those beyond the limits.
 
     :param fd: file descriptor, set to non-blocking.
@@ -103,7 +103,7 @@
 
     debug = info = warning = error = critical = exception = msg
 
-    def bound_routine(
+    def limit_routine_events(
         self, logger: t.Any, method: str, event: structlog.typing.EventDict
     ) -> structlog.typing.EventDict:
         """Drop a routine event that exceeds the share of such events.
@@ -154,7 +154,7 @@
         self._pending = self._pending[written:]
 
 
-def configure_bounded_logs(level: str, **bound: str) -> BoundedLines:
+def configure_bounded_logs(level: str, **bound: str) -> BoundedLogWriter:
     """Configure structlog to write rate-limited JSON lines to standard output.
 
     :param level: lowest level that is written.
@@ -162,10 +162,10 @@
     :returns: the writer, which counts the lines it dropped.
     """
     os.set_blocking(sys.stdout.fileno(), False)
-    lines = BoundedLines(sys.stdout.fileno())
+    lines = BoundedLogWriter(sys.stdout.fileno())
     structlog.configure(
         processors=[
-            lines.bound_routine,
+            lines.limit_routine_events,
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
--- a/src/onyxgap/operations.py
+++ b/src/onyxgap/operations.py
@@ -213,7 +213,7 @@
     return summaries
 
 
-def find_mentions(entry: Entry, subject: str) -> list[ev.Event]:
+def list_related_events(entry: Entry, subject: str) -> list[ev.Event]:
     """Find the events of a journal entry that concern a VM, task, attempt or pool.
 
     :param entry: the journal entry.
--- a/src/onyxgap/platform/advice.py
+++ b/src/onyxgap/platform/advice.py
@@ -35,7 +35,7 @@
 
 
 @attrs.define
-class PlatformAdvice:
+class PlatformPolicyClient:
     """Calls the policy service over HTTP, one call at a time.
 
     :param http: HTTP client for the service's address.
--- a/src/onyxgap/platform/cloud.py
+++ b/src/onyxgap/platform/cloud.py
@@ -73,7 +73,7 @@
 
 
 @attrs.define
-class PlatformCloud:
+class PlatformCloudClient:
     """Calls the VM API over HTTP.
 
     :param http: HTTP client for the API's address.
--- a/src/onyxgap/platform/callers.py
+++ b/src/onyxgap/platform/job_api.py
@@ -8,7 +8,7 @@
 import structlog
 
 from ..adapters.asgi import BodyTooLargeError
-from ..adapters.asgi import CallerGoneError
+from ..adapters.asgi import CallerDisconnectedError
 from ..adapters.asgi import HeaderList
 from ..adapters.asgi import Receive
 from ..adapters.asgi import Scope
@@ -156,7 +156,7 @@
 
 
 @attrs.define
-class CallerApp:
+class JobApiApp:
     """ASGI application of the job API.
 
     :param desk: carries out the calls.
@@ -192,7 +192,7 @@
         except BodyTooLargeError:
             await _send_problem(send, 413, "body too large")
             return
-        except CallerGoneError:
+        except CallerDisconnectedError:
             return
         route = await self.desk.find_route(host, path)
         if isinstance(route, Unavailable):
@@ -296,7 +296,7 @@
 
 
 @attrs.define
-class ReadyApp:
+class ProbeApp:
     """ASGI application for readiness probes and metrics.
 
     :param desk: tells whether the node is ready.
--- a/src/onyxgap/platform/registry.py
+++ b/src/onyxgap/platform/registry.py
@@ -85,7 +85,7 @@
     return raw
 
 
-def decode_start(value: t.Any) -> int:
+def decode_start_time(value: t.Any) -> int:
     """Check a worker's start time.
 
     :param value: start time in Unix milliseconds; 0 where the worker sends none.
--- a/src/onyxgap/platform/settings.py
+++ b/src/onyxgap/platform/settings.py
@@ -10,7 +10,7 @@
 from ..settings import Address
 from ..settings import parse_address
 
-PATH_VARIABLE = "ONYXGAP_CONFIG"
+SETTINGS_PATH_VARIABLE = "ONYXGAP_CONFIG"
 """Environment variable with the path of the settings file."""
 SUPPORTED_CONTROL_MODE = "invoke"
 TENANTS_CONTRACT = "tenants"
--- a/src/onyxgap/platform/store.py
+++ b/src/onyxgap/platform/store.py
@@ -7,7 +7,7 @@
 import attrs
 
 from ..exceptions import MALFORMED_ERRORS
-from ..exceptions import HistoryLostError
+from ..exceptions import HistoryTruncatedError
 from ..exceptions import PlatformUnavailableError
 from ..jobs.store import WRITE_TIMEOUT_S
 from ..jobs.store import Applied
@@ -82,7 +82,7 @@
 
 def _decode_page(answer: Answer) -> tuple[Page, bool]:
     if answer.status == 410:
-        raise HistoryLostError
+        raise HistoryTruncatedError
     if answer.status != 200:
         raise PlatformUnavailableError(answer.reason or f"status {answer.status}")
     body = answer.read_object()
@@ -174,7 +174,7 @@
     async def follow(self, table: str, after: int, wait_s: float) -> Page:
         """Wait for changes of a table after a version.
 
-        :raises HistoryLostError: when the store no longer keeps these changes.
+        :raises HistoryTruncatedError: when the store no longer keeps these changes.
         :raises PlatformUnavailableError: without a valid answer.
         """
         self._count("follow")
--- a/src/onyxgap/platform/workers.py
+++ b/src/onyxgap/platform/workers.py
@@ -18,7 +18,7 @@
 from .connections import WorkerConnections
 from .http import Answer
 from .http import CallFailure
-from .registry import decode_start
+from .registry import decode_start_time
 
 ORDER_TIMEOUT_S = 0.6
 """Longer than a start order stays valid; a worker answers within milliseconds."""
@@ -97,14 +97,14 @@
             float(body["clock_ms"]),
             tuple(map(_decode_running, body.get("running") or ())),
             tuple(map(_decode_ended, body.get("ended") or ())),
-            decode_start(body.get("born", 0)),
+            decode_start_time(body.get("born", 0)),
         )
     except MALFORMED_ERRORS as error:
         return Reply(ReplyKind.NO_ANSWER, detail=f"malformed report: {error!r}")
 
 
 @attrs.define
-class PlatformWorkers:
+class PlatformWorkerClient:
     """Calls workers over HTTP; keeps connections for each worker and address."""
 
     _connections: dict[str, dict[str, WorkerConnections]] = attrs.field(factory=dict)
--- a/src/onyxgap/request/allocation.py
+++ b/src/onyxgap/request/allocation.py
@@ -14,13 +14,13 @@
 from ..shared.state import FleetState
 from .catalogue import find_quotas
 from .catalogue import list_targets
-from .link import AskMessage
 from .link import SlotLink
+from .link import SlotRequestMessage
 from .messages import Outcome
 from .messages import Reason
 from .messages import Refusal
 from .messages import Slot
-from .queue import Ask
+from .queue import SlotRequest
 from .scheduling import Decision
 from .scheduling import Granted
 from .scheduling import Refused
@@ -32,7 +32,7 @@
 
 @attrs.define(slots=True)
 class _PendingRequest:
-    message: AskMessage
+    message: SlotRequestMessage
     deadline: float
     owner: str
     requested_at: float
@@ -48,19 +48,19 @@
 class SlotBroker:
     """Requests slots for this entry and grants the slots of the services it owns.
 
-    :param me: name of this entry.
+    :param own_name: name of this entry.
     :param link: carries messages to other entries.
     :param rng: seeded generator.
     :param reserve_share: share of the slots that only urgent requests may use.
-    :param on_busy: called when a slot request is added; from then on
+    :param on_request_added: called when a slot request is added; from then on
         :meth:`tick` has to be called periodically.
     """
 
-    me: str
+    own_name: str
     link: SlotLink
     rng: random.Random
     reserve_share: float = defaults.URGENT_RESERVE_SHARE
-    on_busy: t.Callable[[], None] = lambda: None
+    on_request_added: t.Callable[[], None] = lambda: None
     _entries: tuple[str, ...] = ()
     _suspects: set[str] = attrs.field(factory=set)
     _owners: dict[str, str] = attrs.field(factory=dict)
@@ -100,18 +100,20 @@
         """
         ask_id = self._next_ask_id
         self._next_ask_id += 1
-        message = AskMessage(ask_id, service, rank, deadline - now, team, avoid)
+        message = SlotRequestMessage(ask_id, service, rank, deadline - now, team, avoid)
         owner = self.find_owner(service)
         self._pending[ask_id] = _PendingRequest(message, deadline, owner, now, on_done)
         self._send_request(owner, message, now)
-        self.on_busy()
+        self.on_request_added()
         return ask_id
 
-    def _send_request(self, owner: str, message: AskMessage, now: float) -> None:
-        if owner == self.me:
-            self.handle_ask(self.me, message, now)
+    def _send_request(
+        self, owner: str, message: SlotRequestMessage, now: float
+    ) -> None:
+        if owner == self.own_name:
+            self.handle_request(self.own_name, message, now)
         else:
-            self.link.send_ask(owner, message)
+            self.link.send_request(owner, message)
 
     def withdraw(self, ask_id: int, now: float) -> None:
         """Withdraw a slot request; without effect if it is not pending.
@@ -137,8 +139,8 @@
     def _send_release(
         self, owner: str, ask_id: int, outcome: Outcome, took_s: float, now: float
     ) -> None:
-        if owner == self.me:
-            self.handle_release(self.me, ask_id, outcome, took_s, now)
+        if owner == self.own_name:
+            self.handle_release(self.own_name, ask_id, outcome, took_s, now)
         else:
             self.link.send_release(owner, ask_id, outcome, took_s)
 
@@ -159,12 +161,12 @@
         owner = self._owners.get(service)
         if owner is None:
             candidates = [name for name in self._entries if self._is_usable(name)]
-            owner = pick_owner(service, candidates) or self.me
+            owner = pick_owner(service, candidates) or self.own_name
             self._owners[service] = owner
         return owner
 
     def _is_usable(self, name: str) -> bool:
-        return name == self.me or name not in self._suspects
+        return name == self.own_name or name not in self._suspects
 
     def set_entries(self, names: t.Iterable[str], now: float) -> None:
         """Set the live entries and reassign the ownership of services.
@@ -187,7 +189,7 @@
         for scheduler in self._schedulers.values():
             self._send_decisions(scheduler.remove_member(name, now))
 
-    def hear(self, name: str, now: float) -> None:
+    def record_contact(self, name: str, now: float) -> None:
         """Record that a frame of another entry has arrived.
 
         A suspected entry becomes usable as an owner again.
@@ -226,8 +228,8 @@
         self._send_release(slot.owner, ask_id, Outcome.UNUSED, 0.0, now)
         moved = attrs.evolve(slot, owner=owner)
         self._held[ask_id] = moved
-        if owner == self.me:
-            self.handle_held(self.me, moved, now)
+        if owner == self.own_name:
+            self.handle_held(self.own_name, moved, now)
         else:
             self.link.send_held(owner, moved)
 
@@ -240,7 +242,7 @@
         pending.requested_at = now
         self._send_request(owner, pending.message, now)
 
-    def is_busy(self) -> bool:
+    def has_waiting_requests(self) -> bool:
         """Tell whether slot requests are pending or queued here.
 
         While they are, :meth:`tick` has to be called periodically.
@@ -257,7 +259,7 @@
         :param now: monotonic seconds.
         """
         waiting = {item.owner: item.requested_at for item in self._pending.values()}
-        waiting.pop(self.me, None)
+        waiting.pop(self.own_name, None)
         for owner, requested_at in waiting.items():
             self._check_owner(owner, requested_at, now)
         for scheduler in self._schedulers.values():
@@ -300,7 +302,9 @@
             self._held[ask_id] = decision
         pending.on_done(decision)
 
-    def handle_ask(self, member: str, message: AskMessage, now: float) -> None:
+    def handle_request(
+        self, member: str, message: SlotRequestMessage, now: float
+    ) -> None:
         """Schedule a slot request of an entry that takes this one for the owner.
 
         :param member: the entry.
@@ -308,7 +312,7 @@
         :param now: monotonic seconds.
         """
         scheduler = self._find_scheduler(message.service)
-        request = Ask(
+        request = SlotRequest(
             member=member,
             ask=message.ask,
             rank=message.rank,
@@ -318,7 +322,7 @@
         )
         self._services[member, message.ask] = message.service
         self._send_decisions(scheduler.submit(request, now))
-        self.on_busy()
+        self.on_request_added()
 
     def handle_held(self, member: str, slot: Slot, now: float) -> None:
         """Count a slot that a previous owner granted to an entry as in use.
@@ -353,7 +357,7 @@
         for decision in decisions:
             if isinstance(decision, Refused):
                 self._services.pop((decision.ask.member, decision.ask.ask), None)
-            if decision.ask.member != self.me:
+            if decision.ask.member != self.own_name:
                 self.link.send_decision(decision)
             else:
                 self._handle_own_decision(decision)
@@ -361,11 +365,11 @@
     def _handle_own_decision(self, decision: Decision) -> None:
         ask_id = decision.ask.ask
         if isinstance(decision, Granted):
-            slot = Slot(ask_id, "", decision.vm, self.me)
-            self.handle_decision(self.me, ask_id, slot)
+            slot = Slot(ask_id, "", decision.vm, self.own_name)
+            self.handle_decision(self.own_name, ask_id, slot)
         else:
             refusal = Refusal(decision.reason, decision.retry_after_s)
-            self.handle_decision(self.me, ask_id, refusal)
+            self.handle_decision(self.own_name, ask_id, refusal)
 
     # fleet state of the schedulers
 
--- a/src/onyxgap/request/claims.py
+++ b/src/onyxgap/request/claims.py
@@ -142,17 +142,19 @@
 
 
 @attrs.define
-class ClaimKeeper:
+class ClaimStore:
     """Claims idempotency keys and records the results of the requests.
 
     :param store: the platform's table and object store.
-    :param unsettled: claims whose results are not yet stored, by token,
+    :param pending_results: claims whose results are not yet stored, by token,
         each with the new value of its row.
     """
 
     store: Store
     writer: BatchWriter = attrs.field(init=False)
-    unsettled: dict[str, tuple[Claim, dict[str, t.Any]]] = attrs.field(factory=dict)
+    pending_results: dict[str, tuple[Claim, dict[str, t.Any]]] = attrs.field(
+        factory=dict
+    )
     _wake: anyio.Event = attrs.field(factory=anyio.Event)
 
     def __attrs_post_init__(self) -> None:
@@ -251,7 +253,7 @@
                 "body": answer.body,
                 "vm": answer.vm,
             }
-        self.unsettled[claim.token] = (claim, claim.build_value(status, **extra))
+        self.pending_results[claim.token] = (claim, claim.build_value(status, **extra))
         self._wake.set()
 
     async def run(self) -> None:
@@ -261,15 +263,15 @@
             while True:
                 await self._wake.wait()
                 self._wake = anyio.Event()
-                await self.settle_once()
-                if self.unsettled:
+                await self.store_pending_results()
+                if self.pending_results:
                     await anyio.sleep(RESULT_RETRY_S)
                     self._wake.set()
 
-    async def settle_once(self) -> None:
+    async def store_pending_results(self) -> None:
         """Try once to store each pending result."""
         async with anyio.create_task_group() as group:
-            for token, (claim, value) in list(self.unsettled.items()):
+            for token, (claim, value) in list(self.pending_results.items()):
                 group.start_soon(self._store_result, token, claim, value)
 
     async def _store_result(
@@ -285,20 +287,20 @@
             # once this row exists
             expected_version = ABSENT
         elif row.value["token"] != token or row.value["status"] != CLAIMED:
-            self.unsettled.pop(token, None)
+            self.pending_results.pop(token, None)
             return
         else:
             expected_version = row.version
         outcome = await self.writer.write(Put(claim.key, value, expected_version))
         if outcome is WriteOutcome.APPLIED:
-            self.unsettled.pop(token, None)
+            self.pending_results.pop(token, None)
 
     async def _encode_body(self, value: dict[str, t.Any]) -> dict[str, t.Any]:
         body = value.get("body")
         if not isinstance(body, bytes):
             return value
         encoded = {key: item for key, item in value.items() if key != "body"}
-        if len(body) > defaults.CLAIM_ANSWER_BYTES:
+        if len(body) > defaults.CLAIM_INLINE_LIMIT_BYTES:
             encoded["object"] = await self.store.put_object(body)
         else:
             encoded["body"] = base64.b64encode(body).decode()
@@ -306,11 +308,11 @@
 
 
 _ROW_HANDLERS: dict[
-    str, t.Callable[[ClaimKeeper, Claim, Row], t.Awaitable[Answer | None]]
+    str, t.Callable[[ClaimStore, Claim, Row], t.Awaitable[Answer | None]]
 ] = {
-    CLAIMED: ClaimKeeper._handle_claimed,
-    RELEASED: ClaimKeeper._handle_released,
-    RAN: ClaimKeeper._handle_ran,
+    CLAIMED: ClaimStore._handle_claimed,
+    RELEASED: ClaimStore._handle_released,
+    RAN: ClaimStore._handle_ran,
 }
 
 
--- a/src/onyxgap/request/link.py
+++ b/src/onyxgap/request/link.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen(slots=True)
-class AskMessage:
+class SlotRequestMessage:
     """A slot request as it is sent to the owner of the service.
 
     :param ask: ID of the slot request, unique within the requesting entry.
@@ -32,7 +32,7 @@
 class SlotLink(t.Protocol):
     """Sends slot messages to other entries without blocking."""
 
-    def send_ask(self, owner: str, message: AskMessage) -> None:
+    def send_request(self, owner: str, message: SlotRequestMessage) -> None:
         """Request a slot from the owner of the service."""
 
     def send_release(
--- a/src/onyxgap/request/pipe.py
+++ b/src/onyxgap/request/pipeline.py
@@ -16,7 +16,7 @@
 from .allocation import SlotBroker
 from .claims import PREFIX as CLAIM_PREFIX
 from .claims import Claim
-from .claims import ClaimKeeper
+from .claims import ClaimStore
 from .identity import identify_request
 from .messages import Answer
 from .messages import CallerRequest
@@ -50,7 +50,7 @@
 
 
 @attrs.define
-class RequestPipe:
+class RequestPipeline:
     """Runs callers' requests on targets and builds the final answers.
 
     :param node: provides the replicated state as known to this process.
@@ -66,7 +66,7 @@
 
     node: ServingNode
     broker: SlotBroker
-    claims: ClaimKeeper
+    claims: ClaimStore
     client: TargetClient
     clocks: Clocks
     rng: random.Random
--- a/src/onyxgap/request/queue.py
+++ b/src/onyxgap/request/queue.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen(slots=True)
-class Ask:
+class SlotRequest:
     """A slot request as the owner of the service schedules it.
 
     :param member: the entry that sent it.
@@ -37,12 +37,12 @@
     of one team does not delay the others.
     """
 
-    _teams: list[dict[str | None, collections.deque[Ask]]] = attrs.field(
+    _teams: list[dict[str | None, collections.deque[SlotRequest]]] = attrs.field(
         factory=lambda: [{} for _ in range(RANK_COUNT)]
     )
     _counts: list[int] = attrs.field(factory=lambda: [0] * RANK_COUNT)
 
-    def push(self, request: Ask) -> None:
+    def push(self, request: SlotRequest) -> None:
         """Append a slot request.
 
         :param request: the slot request.
@@ -71,7 +71,7 @@
 
     def pop(
         self, rank: int, is_below_quota: t.Callable[[str | None], bool]
-    ) -> Ask | None:
+    ) -> SlotRequest | None:
         """Remove and return the next request of a priority whose team is below quota.
 
         :param rank: the priority.
@@ -90,13 +90,13 @@
             return request
         return None
 
-    def remove_unless(self, keep: t.Callable[[Ask], bool]) -> list[Ask]:
+    def remove_unless(self, keep: t.Callable[[SlotRequest], bool]) -> list[SlotRequest]:
         """Remove the requests for which a predicate is false.
 
         :param keep: tells which requests stay.
         :returns: the removed requests.
         """
-        removed: list[Ask] = []
+        removed: list[SlotRequest] = []
         for rank, teams in enumerate(self._teams):
             for team, waiting in list(teams.items()):
                 kept = collections.deque(item for item in waiting if keep(item))
--- a/src/onyxgap/request/scheduling.py
+++ b/src/onyxgap/request/scheduling.py
@@ -14,7 +14,7 @@
 from .messages import Outcome
 from .messages import Reason
 from .queue import RANK_COUNT
-from .queue import Ask
+from .queue import SlotRequest
 from .queue import SlotRequestQueue
 from .targets import TargetSet
 
@@ -28,7 +28,7 @@
 class Granted:
     """The slot request is granted one slot of the VM."""
 
-    ask: Ask
+    ask: SlotRequest
     vm: str
 
 
@@ -39,7 +39,7 @@
     :param retry_after_s: predicted seconds until the backlog has drained.
     """
 
-    ask: Ask
+    ask: SlotRequest
     reason: Reason
     retry_after_s: float
 
@@ -77,7 +77,7 @@
     _mean_by_rank_s: dict[int, float] = attrs.field(factory=dict)
     _urgent_streak: int = 0
 
-    def submit(self, request: Ask, now: float) -> list[Decision]:
+    def submit(self, request: SlotRequest, now: float) -> list[Decision]:
         """Grant, queue or refuse a slot request.
 
         :param request: the slot request.
@@ -90,7 +90,7 @@
         self.queue.push(request)
         return self.grant_free_slots(now)
 
-    def _shed(self, request: Ask, now: float) -> Refused | None:
+    def _shed(self, request: SlotRequest, now: float) -> Refused | None:
         total, free = self.targets.count_slots(now)
         if total == 0:
             retry_after = defaults.EJECT_BASE_S
@@ -136,7 +136,7 @@
             decisions.append(self._grant_or_refuse(request, now))
         return decisions
 
-    def _pop_next(self, now: float) -> Ask | None:
+    def _pop_next(self, now: float) -> SlotRequest | None:
         total, free = self.targets.count_slots(now)
         if free <= 0:
             return None
@@ -151,7 +151,7 @@
         return None
 
     def _order_ranks(self) -> tuple[int, ...]:
-        if self._urgent_streak < defaults.STARVATION_INTERVAL:
+        if self._urgent_streak < defaults.MAX_CONSECUTIVE_URGENT:
             return tuple(range(RANK_COUNT))
         return (*range(1, RANK_COUNT), URGENT_RANK)
 
@@ -167,7 +167,7 @@
             return True
         return self._use_by_team.get(team, 0) < self.quotas[team]
 
-    def _grant_or_refuse(self, request: Ask, now: float) -> Decision:
+    def _grant_or_refuse(self, request: SlotRequest, now: float) -> Decision:
         if now >= request.deadline:
             return Refused(request, Reason.DEADLINE, self.mean_s)
         target = self.targets.choose(now, request.avoid)
@@ -263,7 +263,7 @@
             refusals.append(Refused(request, Reason.DEADLINE, self.mean_s))
         return [*refusals, *self.grant_free_slots(now)]
 
-    def close(self) -> list[Ask]:
+    def close(self) -> list[SlotRequest]:
         """Remove all state and return the queued requests."""
         self._held.clear()
         self._use_by_team.clear()
--- a/src/onyxgap/request/targets.py
+++ b/src/onyxgap/request/targets.py
@@ -73,7 +73,7 @@
     """
 
     rng: Random
-    eject_share: float = defaults.EJECT_SHARE_CAP
+    eject_share: float = defaults.MAX_EJECTED_SHARE
     by_vm: dict[str, Target] = attrs.field(factory=dict)
     _buckets: list[dict[str, Target]] = attrs.field(factory=list)
     _total: int = 0
--- a/src/onyxgap/shared/journal.py
+++ b/src/onyxgap/shared/journal.py
@@ -51,17 +51,17 @@
     """Reads and appends journal entries and snapshots.
 
     :param store: table and object store.
-    :param corrupt: keys of the corrupt rows that were read.
+    :param corrupt_keys: keys of the corrupt rows that were read.
     """
 
     store: Store
-    corrupt: list[str] = attrs.field(factory=list)
+    corrupt_keys: list[str] = attrs.field(factory=list)
 
     async def read_after(self, sequence: int) -> list[Entry]:
         """Read one page of entries after a sequence number.
 
         A corrupt or foreign row is read as an entry without events, and its
-        key is added to ``corrupt``.
+        key is added to ``corrupt_keys``.
 
         :param sequence: sequence number of the last known entry.
         :raises PlatformUnavailableError: when the store does not answer.
@@ -81,7 +81,7 @@
             return None
         entry = decode_entry(row.value)
         if entry is None or entry.sequence != expected:
-            self.corrupt.append(row.key)
+            self.corrupt_keys.append(row.key)
             return Entry(expected, "", 0.0, "corrupt row", "", ())
         return entry
 
@@ -134,7 +134,7 @@
         if not isinstance(event, ManifestAccepted):
             return event
         body = json.dumps(event.changed, separators=(",", ":")).encode()
-        if len(body) <= defaults.INLINE_LIMIT_BYTES:
+        if len(body) <= defaults.JOURNAL_INLINE_LIMIT_BYTES:
             return event
         digest = await self.store.put_object(body)
         return attrs.evolve(event, changed={}, digest=digest)
@@ -143,7 +143,7 @@
         """Load the state of the latest snapshot.
 
         Returns the empty state when there is no snapshot or it is corrupt. The
-        key of a corrupt snapshot is added to ``corrupt``.
+        key of a corrupt snapshot is added to ``corrupt_keys``.
 
         :raises PlatformUnavailableError: when the store does not answer.
         """
@@ -153,7 +153,7 @@
         try:
             return decode_snapshot(await self.store.get_object(row.value["digest"]))
         except (ValueError, KeyError, TypeError):
-            self.corrupt.append(SNAPSHOT_KEY)
+            self.corrupt_keys.append(SNAPSHOT_KEY)
             return FleetState()
 
     async def save_snapshot(self, state: FleetState) -> bool:
--- a/src/onyxgap/shared/membership.py
+++ b/src/onyxgap/shared/membership.py
@@ -50,16 +50,16 @@
 class Membership:
     """Live members as seen by one process, by its own monotonic clock.
 
-    A member times out when for ``lapse_s`` its row has not changed and no
+    A member times out when for ``timeout_s`` its row has not changed and no
     heartbeat from it has been received. Clocks of other machines are not used.
 
     :param me: name of this process.
-    :param lapse_s: seconds without a heartbeat or a change of its row after which
+    :param timeout_s: seconds without a heartbeat or a change of its row after which
         a member has timed out.
     """
 
     me: str
-    lapse_s: float = defaults.MEMBER_LAPSE_S
+    timeout_s: float = defaults.MEMBER_TIMEOUT_S
     _statuses: dict[str, _MemberStatus] = attrs.field(factory=dict)
 
     def observe(self, rows: t.Iterable[tuple[MemberRow, int]], now: float) -> None:
@@ -79,7 +79,7 @@
         for name in set(self._statuses) - present:
             del self._statuses[name]
 
-    def hear(
+    def record_heartbeat(
         self,
         name: str,
         sequence: int,
@@ -101,7 +101,7 @@
         if status is None:
             return False
         changed = stopping != status.row.stopping
-        changed = changed or self._get_silent_s(name, now) > self.lapse_s
+        changed = changed or self._get_silent_s(name, now) > self.timeout_s
         status.last_heartbeat_at = now
         status.row = attrs.evolve(
             status.row,
@@ -145,11 +145,14 @@
         for row in self.list_known():
             if role not in (None, row.role):
                 continue
-            if row.name == self.me or self._get_silent_s(row.name, now) <= self.lapse_s:
+            if (
+                row.name == self.me
+                or self._get_silent_s(row.name, now) <= self.timeout_s
+            ):
                 live.append(row)
         return live
 
-    def list_lapsed(self, now: float, role: str | None = None) -> list[MemberRow]:
+    def list_timed_out(self, now: float, role: str | None = None) -> list[MemberRow]:
         """List the members that have a row but have timed out, sorted by name.
 
         :param now: monotonic seconds.
@@ -162,7 +165,7 @@
             if row.name not in live and role in (None, row.role)
         ]
 
-    def list_forgotten(self, now: float, limit_s: float) -> list[tuple[str, int]]:
+    def list_expired_rows(self, now: float, limit_s: float) -> list[tuple[str, int]]:
         """List members whose rows may be removed, with the version of each row.
 
         :param now: monotonic seconds.
@@ -197,14 +200,14 @@
     _store_read_at: float = float("-inf")
     _peer_heartbeats: dict[str, float] = attrs.field(factory=dict)
 
-    def hear_store(self, sent_at: float) -> None:
+    def record_store_answer(self, sent_at: float) -> None:
         """Record that the store answered a read.
 
         :param sent_at: monotonic seconds, read before the request was sent.
         """
         self._store_read_at = max(self._store_read_at, sent_at)
 
-    def hear_peer(self, name: str, now: float) -> None:
+    def record_peer_heartbeat(self, name: str, now: float) -> None:
         """Record a heartbeat of a peer that confirms the state.
 
         :param name: the peer.
--- a/src/onyxgap/shared/node.py
+++ b/src/onyxgap/shared/node.py
@@ -65,7 +65,8 @@
     :param poll_interval_s: interval of journal reads, in seconds.
     :param loaded: whether the state has been loaded at start-up.
     :param on_change: hooks that are called with the entries just applied.
-    :param on_members: hooks that are called when the membership may have changed.
+    :param on_membership_change: hooks that are called when the membership may have
+        changed.
     :param count_draining: returns the number of requests in flight by draining
         VM.
     """
@@ -82,7 +83,7 @@
     freshness: Freshness = attrs.field(factory=Freshness)
     loaded: bool = False
     on_change: list[OnChange] = attrs.field(factory=list)
-    on_members: list[t.Callable[[], None]] = attrs.field(factory=list)
+    on_membership_change: list[t.Callable[[], None]] = attrs.field(factory=list)
     count_draining: t.Callable[[], dict[str, int]] = dict
     # the peers whose majority decides on freshness: those that were live at the
     # last successful scan of the member rows
@@ -167,7 +168,7 @@
             if len(entries) < defaults.JOURNAL_PAGE_ROWS:
                 # the page is not full: every entry that existed when this read was
                 # sent has been applied
-                self.freshness.hear_store(sent_at)
+                self.freshness.record_store_answer(sent_at)
                 return
 
     def _apply_entries(self, entries: t.Iterable[Entry]) -> None:
@@ -282,7 +283,7 @@
 
     def run_membership_hooks(self) -> None:
         """Call the hooks for changes of the membership."""
-        for hook in self.on_members:
+        for hook in self.on_membership_change:
             hook()
 
     def find_address(self, name: str) -> str | None:
@@ -342,7 +343,7 @@
     def _handle_heartbeat(
         self, sender: str, address: str, heartbeat: ttypes.Heartbeat
     ) -> None:
-        changed = self.membership.hear(
+        changed = self.membership.record_heartbeat(
             sender,
             heartbeat.sequence,
             heartbeat.draining or {},
@@ -351,7 +352,7 @@
         )
         if heartbeat.sequence <= self.state.sequence:
             # a peer that has applied more entries shows that this state is outdated
-            self.freshness.hear_peer(sender, self.now())
+            self.freshness.record_peer_heartbeat(sender, self.now())
         elif self.loaded:
             pull = ttypes.JournalPull(after=self.state.sequence)
             self.peers.send(address, ttypes.Frame(sender=self.name, pull=pull))
@@ -376,7 +377,7 @@
             entries.append(entry)
         self._apply_entries(entries)
 
-    def list_entries(self) -> list[str]:
+    def list_entry_processes(self) -> list[str]:
         """List the names of the live entry processes that are not stopping."""
         live = self.membership.list_live(self.now(), ENTRY_ROLE)
         return [row.name for row in live if not row.stopping]
--- a/src/onyxgap/shared/state.py
+++ b/src/onyxgap/shared/state.py
@@ -48,12 +48,12 @@
     :param version_author: author of the current manifest version.
     :param chunks: JSON value of the current manifest by chunk name.
     :param vms: VMs of all pools by name.
-    :param members: names of the VMs by pool.
+    :param pool_vms: names of the VMs by pool.
     :param attempts: running attempts by ID.
     :param tasks: history by task name.
     :param rejected_events: events that were illegal when they were applied.
-    :param tasks_in: tasks of the current manifest by pool and name.
-    :param attempts_in: running attempts by pool and ID.
+    :param pool_tasks: tasks of the current manifest by pool and name.
+    :param pool_attempts: running attempts by pool and ID.
     """
 
     sequence: int = 0
@@ -61,7 +61,7 @@
     version_author: str = ""
     chunks: dict[str, t.Any] = attrs.field(factory=dict)
     vms: dict[str, VmRecord] = attrs.field(factory=dict)
-    members: dict[str, set[str]] = attrs.field(
+    pool_vms: dict[str, set[str]] = attrs.field(
         factory=lambda: collections.defaultdict(set)
     )
     attempts: dict[str, Attempt] = attrs.field(factory=dict)
@@ -69,10 +69,10 @@
         factory=lambda: collections.defaultdict(TaskHistory)
     )
     rejected_events: int = 0
-    tasks_in: dict[str, dict[str, Task]] = attrs.field(
+    pool_tasks: dict[str, dict[str, Task]] = attrs.field(
         factory=lambda: collections.defaultdict(dict)
     )
-    attempts_in: dict[str, dict[str, Attempt]] = attrs.field(
+    pool_attempts: dict[str, dict[str, Attempt]] = attrs.field(
         factory=lambda: collections.defaultdict(dict)
     )
     _structured_chunks: dict[str, t.Any] = attrs.field(factory=dict)
@@ -113,7 +113,7 @@
 
         :param name: name of the pool.
         """
-        return [self.vms[vm] for vm in sorted(self.members.get(name, ()))]
+        return [self.vms[vm] for vm in sorted(self.pool_vms.get(name, ()))]
 
     def accepts(self, event: ev.Event) -> bool:
         """Tell whether an event is legal in this state.
@@ -146,7 +146,7 @@
             chunk = structure_chunk(name, value)
             self._structured_chunks[name] = chunk
             if isinstance(chunk, Task):
-                self.tasks_in[chunk.pool][chunk.name] = chunk
+                self.pool_tasks[chunk.pool][chunk.name] = chunk
 
     def remove_chunk(self, name: str) -> None:
         """Remove a chunk of the manifest.
@@ -161,7 +161,7 @@
     def _remove_task(self, name: str) -> None:
         chunk = self._structured_chunks.get(name)
         if isinstance(chunk, Task):
-            self.tasks_in[chunk.pool].pop(chunk.name, None)
+            self.pool_tasks[chunk.pool].pop(chunk.name, None)
 
     def add_attempt(self, attempt: Attempt) -> None:
         """Add a running attempt.
@@ -169,7 +169,7 @@
         :param attempt: the attempt.
         """
         self.attempts[attempt.attempt] = attempt
-        self.attempts_in[attempt.pool][attempt.attempt] = attempt
+        self.pool_attempts[attempt.pool][attempt.attempt] = attempt
 
     def remove_attempt(self, name: str) -> Attempt:
         """Remove a running attempt and return it.
@@ -177,7 +177,7 @@
         :param name: ID of the attempt.
         """
         attempt = self.attempts.pop(name)
-        self.attempts_in[attempt.pool].pop(name, None)
+        self.pool_attempts[attempt.pool].pop(name, None)
         return attempt
 
     def count_attempts(self, pool: str) -> t.Callable[[str], int]:
@@ -185,7 +185,7 @@
 
         :param pool: the pool.
         """
-        attempts = self.attempts_in.get(pool, {}).values()
+        attempts = self.pool_attempts.get(pool, {}).values()
         counts = collections.Counter(attempt.vm for attempt in attempts)
         return lambda vm: counts[vm]
 
@@ -195,7 +195,7 @@
         :param record: the VM.
         """
         self.vms[record.name] = record
-        self.members[record.pool].add(record.name)
+        self.pool_vms[record.pool].add(record.name)
 
 
 def _accept_always(state: FleetState, event: t.Any) -> bool:
@@ -282,7 +282,7 @@
 @_apply.register
 def _(event: ev.VmReleased, state: FleetState, entry: ev.Entry) -> None:
     record = state.vms.pop(event.vm)
-    state.members[record.pool].discard(event.vm)
+    state.pool_vms[record.pool].discard(event.vm)
 
 
 def _transition_vm(state: FleetState, event: t.Any, entry: ev.Entry) -> VmRecord:
--- a/src/onyxgap/standins/deployment.py
+++ b/src/onyxgap/standins/deployment.py
@@ -273,7 +273,7 @@
         self.running[name].gate.thaw()
         self.network.thaw(name)
 
-    def list_entries(self) -> list[str]:
+    def list_entry_processes(self) -> list[str]:
         """List running entries that the balancer may use, by name."""
         return sorted(
             name
@@ -319,7 +319,7 @@
                 group.start_soon(_cancel_when_killed, running.killed, scope)
                 with contextlib.suppress(KilledError):
                     await running.gate.pass_freeze()
-                    answer = await running.parts.pipe.answer(request)
+                    answer = await running.parts.pipeline.answer(request)
                     if not running.killed.is_set():
                         record.answer = answer
                 group.cancel_scope.cancel()
--- a/src/onyxgap/standins/emulator/store.py
+++ b/src/onyxgap/standins/emulator/store.py
@@ -6,7 +6,7 @@
 import anyio.abc
 import attrs
 
-from ...exceptions import HistoryLostError
+from ...exceptions import HistoryTruncatedError
 from ...exceptions import PlatformUnavailableError
 from ...jobs.store import WRITE_TIMEOUT_S
 from ...jobs.store import Applied
@@ -112,10 +112,10 @@
     def list_changes(self, table: str, after: int) -> list[StoredRow]:
         """List the changes of a table after a version.
 
-        :raises HistoryLostError: when they were dropped.
+        :raises HistoryTruncatedError: when they were dropped.
         """
         if after < self._forgotten:
-            raise HistoryLostError
+            raise HistoryTruncatedError
         if self.deaf:
             return []
         return [
--- a/src/onyxgap/standins/stage.py
+++ b/src/onyxgap/standins/stage.py
@@ -128,7 +128,7 @@
             await anyio.sleep(load.every_s)
 
     async def _send_one(self, load: Load, key: str | None) -> None:
-        entries = self.deployment.list_entries()
+        entries = self.deployment.list_entry_processes()
         if not entries:
             return
         self._turn += 1
@@ -264,7 +264,10 @@
 
     def _list_serving(self) -> list[tuple[str, t.Any]]:
         running = self.deployment.running
-        return [(name, running[name].parts) for name in self.deployment.list_entries()]
+        return [
+            (name, running[name].parts)
+            for name in self.deployment.list_entry_processes()
+        ]
 
     def _check_one_pool(self) -> None:
         owners: dict[str, set[str]] = collections.defaultdict(set)
--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define
-class SetClocks:
+class ManualClocks:
     """Clocks that show the time that a test sets."""
 
     now: float = 1_000.0
@@ -50,7 +50,7 @@
     :param members: addresses of the nodes; none by default.
     :param read_newest: reads the newest configuration from the store.
     """
-    clocks = SetClocks()
+    clocks = ManualClocks()
     routes.confirm(0, clocks.now - age_s)
     return ConfigurationExchange(
         routes,
--- a/tests/test_allocation.py
+++ b/tests/test_allocation.py
@@ -9,7 +9,7 @@
 from bench.capacity import build_state
 from onyxgap import defaults
 from onyxgap.request.allocation import SlotBroker
-from onyxgap.request.link import AskMessage
+from onyxgap.request.link import SlotRequestMessage
 from onyxgap.request.messages import Outcome
 from onyxgap.request.messages import Reason
 from onyxgap.request.messages import Refusal
@@ -26,29 +26,29 @@
 class InProcessLink:
     """Delivers messages immediately; drops those from or to entries that are down."""
 
-    me: str
+    own_name: str
     brokers: dict[str, SlotBroker]
     down: set[str]
     probes: list[str] = attrs.field(factory=list)
 
     def _find(self, member: str) -> SlotBroker | None:
-        if member in self.down or self.me in self.down:
+        if member in self.down or self.own_name in self.down:
             return None
         return self.brokers[member]
 
-    def send_ask(self, owner: str, message: AskMessage) -> None:
+    def send_request(self, owner: str, message: SlotRequestMessage) -> None:
         if broker := self._find(owner):
-            broker.handle_ask(self.me, message, 0.0)
+            broker.handle_request(self.own_name, message, 0.0)
 
     def send_release(
         self, owner: str, ask_id: int, outcome: Outcome, took_s: float
     ) -> None:
         if broker := self._find(owner):
-            broker.handle_release(self.me, ask_id, outcome, took_s, 0.0)
+            broker.handle_release(self.own_name, ask_id, outcome, took_s, 0.0)
 
     def send_held(self, owner: str, slot: Slot) -> None:
         if broker := self._find(owner):
-            broker.handle_held(self.me, slot, 0.0)
+            broker.handle_held(self.own_name, slot, 0.0)
 
     def send_decision(self, decision: Decision) -> None:
         broker = self._find(decision.ask.member)
@@ -57,10 +57,10 @@
         ask_id = decision.ask.ask
         result: Slot | Refusal
         if isinstance(decision, Granted):
-            result = Slot(ask_id, "", decision.vm, self.me)
+            result = Slot(ask_id, "", decision.vm, self.own_name)
         else:
             result = Refusal(decision.reason, decision.retry_after_s)
-        broker.handle_decision(self.me, ask_id, result)
+        broker.handle_decision(self.own_name, ask_id, result)
 
     def send_probe(self, owner: str) -> None:
         self.probes.append(owner)
@@ -172,7 +172,7 @@
     broker.suspect(failed_owner, 0.0)
     entries.acquire(broker, 2)
     successor = broker.find_owner(SERVICE)
-    broker.hear(failed_owner, 1.0)
+    broker.record_contact(failed_owner, 1.0)
     assert broker.find_owner(SERVICE) == failed_owner
     assert entries.count_in_use(failed_owner) == 2
     assert entries.count_in_use(successor) == 0
@@ -185,8 +185,8 @@
     assert isinstance(slot, Slot)
     broker.release(slot, Outcome.SERVED, 0.01, 0.0)
     owner = entries.brokers[entries.owner]
-    message = AskMessage(ask_id + 100, SERVICE, 0, NO_DEADLINE, None, ())
-    owner.handle_ask(broker.me, message, 0.0)
+    message = SlotRequestMessage(ask_id + 100, SERVICE, 0, NO_DEADLINE, None, ())
+    owner.handle_request(broker.own_name, message, 0.0)
     assert entries.count_in_use(entries.owner) == 0
 
 
@@ -194,7 +194,7 @@
     broker = entries.pick_non_owner()
     entries.acquire(broker, 4)
     owner = entries.brokers[entries.owner]
-    owner.set_entries([name for name in NAMES if name != broker.me], 0.0)
+    owner.set_entries([name for name in NAMES if name != broker.own_name], 0.0)
     assert entries.count_in_use(entries.owner) == 0
     assert not owner._services
 
--- a/tests/test_bill.py
+++ b/tests/test_bill.py
@@ -19,7 +19,7 @@
 from onyxgap.cli.bill import run_bill
 from onyxgap.cli.tracing import LogLine
 from onyxgap.cli.tracing import parse_lines
-from onyxgap.logs import BoundedLines
+from onyxgap.logs import BoundedLogWriter
 
 LATE = LateJob("j1", "quick", "ring", 110.0, 5.0, 1.0, 3.0)
 
@@ -137,7 +137,7 @@
 def test_lines_that_a_node_dropped_are_told(tmp_path: pathlib.Path) -> None:
     """The note of earlier versions has no time; a day's logs could not be read."""
     reader, writer = os.pipe()
-    lines = BoundedLines(writer, read_clock=lambda: 0.0)
+    lines = BoundedLogWriter(writer, read_clock=lambda: 0.0)
     lines.dropped = 3
     lines.msg(end(6, "after", 2.0).encode())
     dated = os.read(reader, 1 << 16).decode()
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -9,7 +9,7 @@
 from testtools.matchers import MatchesStructure
 
 from onyxgap.request.claims import Claim
-from onyxgap.request.claims import ClaimKeeper
+from onyxgap.request.claims import ClaimStore
 from onyxgap.request.messages import Answer
 from onyxgap.request.messages import Reason
 from onyxgap.standins.memory_platform import Faults
@@ -20,7 +20,7 @@
 RAN = Answer(Verdict.RAN, 200, (("content-type", "text/plain"),), b"sold", vm="vm-1")
 NOT_RUN = Answer(Verdict.NOT_RUN, 503, reason=Reason.OVERLOADED)
 
-Test = t.Callable[[MemoryPlatform, ClaimKeeper], t.Awaitable[None]]
+Test = t.Callable[[MemoryPlatform, ClaimStore], t.Awaitable[None]]
 
 
 def build_claim(token: str, digest: str = "d", key: str = "k") -> Claim:
@@ -33,7 +33,7 @@
     async def run() -> None:
         platform = MemoryPlatform(random.Random(5))
         platform.faults.delay_s = 0.002
-        claims = ClaimKeeper(platform)
+        claims = ClaimStore(platform)
         async with anyio.create_task_group() as group:
             group.start_soon(claims.run)
             await test(platform, claims)
@@ -47,15 +47,15 @@
     return MatchesStructure.byEquality(**wanted)
 
 
-async def wait_for_results(claims: ClaimKeeper) -> None:
+async def wait_for_results(claims: ClaimStore) -> None:
     with anyio.fail_after(60):
-        while claims.unsettled:
+        while claims.pending_results:
             await anyio.sleep(0.1)
 
 
 @pytest.mark.promise("at-most-once")
 def test_second_claim_is_refused_while_the_first_is_held() -> None:
-    async def test(platform: MemoryPlatform, claims: ClaimKeeper) -> None:
+    async def test(platform: MemoryPlatform, claims: ClaimStore) -> None:
         assert await claims.claim(build_claim("t1")) is None
         answer = await claims.claim(build_claim("t2"))
         assert_that(answer, matches_answer(verdict=Verdict.MAY_HAVE_RUN, status=409))
@@ -65,7 +65,7 @@
 
 @pytest.mark.promise("at-most-once")
 def test_stored_answer_is_returned_for_a_repeated_key() -> None:
-    async def test(platform: MemoryPlatform, claims: ClaimKeeper) -> None:
+    async def test(platform: MemoryPlatform, claims: ClaimStore) -> None:
         for key, body in (("small", b"sold"), ("large", b"x" * 100_000)):
             claim = build_claim("t1", key=key)
             assert await claims.claim(claim) is None
@@ -84,7 +84,7 @@
 
 @pytest.mark.promise("not-run")
 def test_key_of_a_request_that_was_not_run_can_be_used_again() -> None:
-    async def test(platform: MemoryPlatform, claims: ClaimKeeper) -> None:
+    async def test(platform: MemoryPlatform, claims: ClaimStore) -> None:
         claim = build_claim("t1")
         assert await claims.claim(claim) is None
         claims.record_result(claim, NOT_RUN)
@@ -95,7 +95,7 @@
 
 
 def test_key_with_another_body_is_refused() -> None:
-    async def test(platform: MemoryPlatform, claims: ClaimKeeper) -> None:
+    async def test(platform: MemoryPlatform, claims: ClaimStore) -> None:
         assert await claims.claim(build_claim("t1", "one")) is None
         answer = await claims.claim(build_claim("t2", "other"))
         assert_that(answer, matches_answer(status=422, reason=Reason.KEY_REUSED))
@@ -105,12 +105,12 @@
 
 @pytest.mark.promise("at-most-once")
 def test_concurrent_claims_have_one_winner() -> None:
-    async def test(platform: MemoryPlatform, claims: ClaimKeeper) -> None:
-        stores = [ClaimKeeper(platform) for _ in range(5)]
+    async def test(platform: MemoryPlatform, claims: ClaimStore) -> None:
+        stores = [ClaimStore(platform) for _ in range(5)]
         platform.faults.lose_answers = 0.4
         claimed = []
 
-        async def claim(store: ClaimKeeper, number: int, token: str) -> None:
+        async def claim(store: ClaimStore, number: int, token: str) -> None:
             if await store.claim(build_claim(token, key=f"k{number}")) is None:
                 claimed.append(number)
 
@@ -130,7 +130,7 @@
 
 @pytest.mark.promise("not-run")
 def test_claim_in_an_outage_is_refused_and_its_key_released() -> None:
-    async def test(platform: MemoryPlatform, claims: ClaimKeeper) -> None:
+    async def test(platform: MemoryPlatform, claims: ClaimStore) -> None:
         platform.faults = Faults(down=True)
         started = anyio.current_time()
         answer = await claims.claim(build_claim("t1"))
@@ -147,7 +147,7 @@
 
 @pytest.mark.promise("not-run")
 def test_claim_written_after_its_time_out_is_released() -> None:
-    async def test(platform: MemoryPlatform, claims: ClaimKeeper) -> None:
+    async def test(platform: MemoryPlatform, claims: ClaimStore) -> None:
         platform.faults = Faults(delay_s=30.0)
         answer = await claims.claim(build_claim("t1"))
         assert_that(answer, matches_answer(verdict=Verdict.NOT_RUN))
@@ -160,7 +160,7 @@
 
 
 def test_concurrent_claims_share_a_write() -> None:
-    async def test(platform: MemoryPlatform, claims: ClaimKeeper) -> None:
+    async def test(platform: MemoryPlatform, claims: ClaimStore) -> None:
         before = platform.writes
         async with anyio.create_task_group() as group:
             for number in range(60):
--- a/tests/test_configuration_exchange.py
+++ b/tests/test_configuration_exchange.py
@@ -26,7 +26,7 @@
 from onyxgap.jobs.routing import Service
 from onyxgap.jobs.tenants import Tenant
 from onyxgap.jobs.tenants import digest_key
-from tests.exchanges import SetClocks
+from tests.exchanges import ManualClocks
 from tests.exchanges import build_exchange
 
 TENANTS = tuple(
@@ -134,7 +134,7 @@
     asker, peers = build(NEWEST, age_s=5.0)
     answerer, others = build(NEWEST, age_s=0.4)
     answerer.answer(ask(asker, peers))
-    assert isinstance(asker.clocks, SetClocks)
+    assert isinstance(asker.clocks, ManualClocks)
     asker.clocks.now += 3.0
     part = others.sent[0][1]
     assert isinstance(part, ConfigurationPart)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -42,7 +42,7 @@
         for name in ("me", "dead", "live"):
             platform.write([Put(f"member/{name}", {"name": name}, 0)])
         membership.observe([(build_row(n), 1) for n in ("me", "dead", "live")], 0.0)
-        membership.hear("live", 1, {}, False, 650.0)
+        membership.record_heartbeat("live", 1, {}, False, 650.0)
         sweeper = Sweeper(platform)
         await sweeper.sweep_members(membership, 700.0)
         return platform.list_keys("member/")
@@ -51,14 +51,14 @@
 
 
 def test_member_lapses_by_silence_on_our_clock_alone() -> None:
-    membership = Membership("me", lapse_s=6.0)
+    membership = Membership("me", timeout_s=6.0)
     rows = [(build_row("me"), 1), (build_row("other"), 1)]
     membership.observe(rows, 0.0)
     assert [row.name for row in membership.list_live(6.0)] == ["me", "other"]
-    assert [row.name for row in membership.list_lapsed(6.1)] == ["other"]
+    assert [row.name for row in membership.list_timed_out(6.1)] == ["other"]
     membership.observe([rows[0], (build_row("other"), 2)], 7.0)
     assert [row.name for row in membership.list_live(13.0)] == ["me", "other"]
-    assert membership.hear("other", 9, {"vm": 1}, False, 20.0)
+    assert membership.record_heartbeat("other", 9, {"vm": 1}, False, 20.0)
     (other,) = [row for row in membership.list_live(25.0) if row.name == "other"]
     assert (other.sequence, other.draining) == (9, {"vm": 1})
 
@@ -66,7 +66,7 @@
 def test_restarted_member_forgets_what_it_had_acknowledged() -> None:
     membership = Membership("me")
     membership.observe([(build_row("other", "1"), 4)], 0.0)
-    membership.hear("other", 50, {}, False, 1.0)
+    membership.record_heartbeat("other", 50, {}, False, 1.0)
     membership.observe([(build_row("other", "2", 3), 5)], 2.0)
     (other,) = membership.list_known()
     assert other.sequence == 3
@@ -76,12 +76,12 @@
     freshness = Freshness(limit_s=2.0)
     others = ["a", "b", "c", "d"]
     assert not freshness.is_fresh(0.0, others)
-    freshness.hear_store(0.0)
+    freshness.record_store_answer(0.0)
     assert freshness.is_fresh(2.0, others)
     assert not freshness.is_fresh(2.1, others)
-    freshness.hear_peer("a", 3.0)
+    freshness.record_peer_heartbeat("a", 3.0)
     assert not freshness.is_fresh(3.0, others)
-    freshness.hear_peer("b", 3.5)
+    freshness.record_peer_heartbeat("b", 3.5)
     assert freshness.is_fresh(4.5, others)
     assert not freshness.is_fresh(5.1, others)
     # the only process cannot tell an outage from a cut: it goes on
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,20 +6,20 @@
 import attrs
 import pytest
 
-from onyxgap.defaults import UNRUNNABLE_LOSSES_IN_A_ROW as LOST_IN_A_ROW
-from onyxgap.fleet.diagnosis import find_faulty
-from onyxgap.fleet.diagnosis import find_unrunnable
+from onyxgap.defaults import UNRUNNABLE_CONSECUTIVE_LOSSES as LOST_IN_A_ROW
+from onyxgap.fleet.diagnosis import find_faulty_vms
+from onyxgap.fleet.diagnosis import find_unrunnable_tasks
 from onyxgap.fleet.learning import estimate_size
-from onyxgap.fleet.maintenance import order_wave
+from onyxgap.fleet.maintenance import select_maintenance_wave
 from onyxgap.fleet.messages import Finding
+from onyxgap.fleet.messages import PassInput
+from onyxgap.fleet.messages import PoolPlan
 from onyxgap.fleet.messages import PowerOrder
-from onyxgap.fleet.messages import Step
 from onyxgap.fleet.messages import StopOrder
-from onyxgap.fleet.messages import View
 from onyxgap.fleet.observation import Observer
 from onyxgap.fleet.pipe import needs_reconciliation
 from onyxgap.fleet.pipe import plan_pass
-from onyxgap.fleet.pricing import list_options
+from onyxgap.fleet.pricing import list_maintenance_options
 from onyxgap.manifest import Manifest
 from onyxgap.manifest import Pool
 from onyxgap.manifest import Priority
@@ -56,32 +56,32 @@
     listed: dict[str, ListedTask] = attrs.field(factory=dict)
     wall: float = 1000.0
     in_flight: dict[str, int] = attrs.field(factory=dict)
-    acknowledged: int = 1_000_000
+    min_applied_sequence: int = 1_000_000
     age_s: float = 0.0
-    view: t.Any = None
+    pass_input: t.Any = None
 
     def apply(self, *events: ev.Event) -> None:
         entry = Entry(self.state.sequence + 1, "c", self.wall, "w", "t", events)
         self.state.apply(entry)
 
-    def plan(self) -> Step:
-        observer = Observer(needed=1)
+    def plan(self) -> PoolPlan:
+        observer = Observer(min_absences=1)
         vm_list = VmList(self.age_s, tuple(self.vms.values()))
-        observer.take(vm_list, self.state.vms.keys(), 100.0)
-        self.view = View(
+        observer.record_list(vm_list, self.state.vms.keys(), 100.0)
+        self.pass_input = PassInput(
             self.state,
             observer.observe(100.0),
             self.wall,
-            self.acknowledged,
+            self.min_applied_sequence,
             self.in_flight,
         )
-        (step,) = plan_pass(["p"], self.view, self.listed)
-        return step
+        (pool_plan,) = plan_pass(["p"], self.pass_input, self.listed)
+        return pool_plan
 
-    def advance(self) -> Step:
-        step = self.plan()
-        self.apply(*step.events)
-        return step
+    def advance(self) -> PoolPlan:
+        pool_plan = self.plan()
+        self.apply(*pool_plan.events)
+        return pool_plan
 
     def set_vm(self, vm: str, **changes: t.Any) -> None:
         self.vms[vm] = attrs.evolve(self.vms[vm], **changes)
@@ -107,8 +107,8 @@
     return fleet
 
 
-def find_events(step: Step, kind: type) -> list[t.Any]:
-    return [event for event in step.events if isinstance(event, kind)]
+def find_events(pool_plan: PoolPlan, kind: type) -> list[t.Any]:
+    return [event for event in pool_plan.events if isinstance(event, kind)]
 
 
 def test_pool_gets_declared_number_of_vms_per_zone() -> None:
@@ -131,8 +131,8 @@
     states = []
     orders = []
     for _ in range(16):
-        step = fleet.advance()
-        orders += [order for order in step.orders if isinstance(order, PowerOrder)]
+        pool_plan = fleet.advance()
+        orders += [order for order in pool_plan.orders if isinstance(order, PowerOrder)]
         states.append(fleet.state.vms["vm-0"].state)
         fleet.wall += 200
     assert states[-1] is VmState.RETIRED
@@ -145,23 +145,23 @@
 
 def test_vm_absent_from_one_list_is_not_missing() -> None:
     fleet = build_fleet()
-    observer = Observer(needed=3)
+    observer = Observer(min_absences=3)
     for number in range(4):
         vms = () if number == 1 else tuple(fleet.vms.values())
-        observer.take(VmList(0.0, vms), fleet.state.vms.keys(), float(number))
+        observer.record_list(VmList(0.0, vms), fleet.state.vms.keys(), float(number))
         assert not observer.observe(float(number)).missing
 
 
 def test_vm_listed_twice_is_reported_and_not_changed() -> None:
     fleet = build_fleet()
-    observer = Observer(needed=1)
+    observer = Observer(min_absences=1)
     duplicate = attrs.evolve(fleet.vms["vm-0"], address="y:0")
     vm_list = VmList(0.0, (*fleet.vms.values(), duplicate))
-    observer.take(vm_list, fleet.state.vms.keys(), 0.0)
-    view = View(fleet.state, observer.observe(0.0), 0.0, 1_000, {})
-    (step,) = plan_pass(["p"], view, {})
-    assert step.events == []
-    assert step.reports[0].finding is Finding.CONTRADICTORY
+    observer.record_list(vm_list, fleet.state.vms.keys(), 0.0)
+    pass_input = PassInput(fleet.state, observer.observe(0.0), 0.0, 1_000, {})
+    (pool_plan,) = plan_pass(["p"], pass_input, {})
+    assert pool_plan.events == []
+    assert pool_plan.reports[0].finding is Finding.CONTRADICTORY
 
 
 @pytest.mark.promise("budget")
@@ -170,10 +170,10 @@
     fleet.wall += 40 * DAY_S
     fleet.apply(ev.VmFailed("vm-1", "gone"))
     fleet.set_vm("vm-1", status=VmStatus.DOWN)
-    step = fleet.plan()
-    halted = [r for r in step.reports if r.finding is Finding.HALTED]
+    pool_plan = fleet.plan()
+    halted = [r for r in pool_plan.reports if r.finding is Finding.HALTED]
     assert halted
-    assert not find_events(step, ev.VmDraining)
+    assert not find_events(pool_plan, ev.VmDraining)
 
 
 @pytest.mark.promise("budget")
@@ -181,9 +181,9 @@
     fleet = build_fleet()
     fleet.wall += 40 * DAY_S
     fleet.age_s = 60.0
-    step = fleet.plan()
-    assert not find_events(step, ev.VmDraining)
-    (overdue,) = [r for r in step.reports if r.finding is Finding.OVERDUE]
+    pool_plan = fleet.plan()
+    assert not find_events(pool_plan, ev.VmDraining)
+    (overdue,) = [r for r in pool_plan.reports if r.finding is Finding.OVERDUE]
     assert "60 s old" in overdue.reason
 
 
@@ -192,8 +192,8 @@
     fleet.wall += 40 * DAY_S
     order = []
     for _ in range(60):
-        step = fleet.advance()
-        order += [event.vm for event in find_events(step, ev.VmDraining)]
+        pool_plan = fleet.advance()
+        order += [event.vm for event in find_events(pool_plan, ev.VmDraining)]
         out_of_service = [
             r for r in fleet.state.vms.values() if r.state is not VmState.SERVING
         ]
@@ -205,25 +205,25 @@
     zones = [fleet.vms[vm].zone for vm in order]
     assert len(order) == len(set(order)) == 8
     assert zones == sorted(zones)
-    assert not needs_reconciliation("p", fleet.view)
+    assert not needs_reconciliation("p", fleet.pass_input)
 
 
 def test_pool_due_for_maintenance_needs_reconciliation() -> None:
     fleet = build_fleet()
     fleet.plan()
-    assert not needs_reconciliation("p", fleet.view)
+    assert not needs_reconciliation("p", fleet.pass_input)
     fleet.wall += 40 * DAY_S
     fleet.plan()
-    assert needs_reconciliation("p", fleet.view)
+    assert needs_reconciliation("p", fleet.pass_input)
 
 
 @pytest.mark.promise("leaving")
 def test_drain_waits_for_acknowledgement_and_requests() -> None:
     fleet = build_fleet()
     fleet.apply(ev.VmDraining("vm-0", ev.Purpose.MAINTENANCE))
-    fleet.acknowledged = fleet.state.sequence - 1
+    fleet.min_applied_sequence = fleet.state.sequence - 1
     assert not find_events(fleet.plan(), ev.VmRestarting)
-    fleet.acknowledged = fleet.state.sequence
+    fleet.min_applied_sequence = fleet.state.sequence
     fleet.in_flight = {"vm-0": 1}
     assert not find_events(fleet.plan(), ev.VmRestarting)
     fleet.in_flight = {}
@@ -236,9 +236,9 @@
     fleet.apply(ev.VmDraining("vm-0", ev.Purpose.MAINTENANCE))
     fleet.in_flight = {"vm-0": 3}
     fleet.wall += 31
-    step = fleet.plan()
-    assert find_events(step, ev.VmRestarting)
-    assert step.reports[0].finding is Finding.DRAIN_FORCED
+    pool_plan = fleet.plan()
+    assert find_events(pool_plan, ev.VmRestarting)
+    assert pool_plan.reports[0].finding is Finding.DRAIN_FORCED
 
 
 @pytest.mark.promise("graceful")
@@ -248,12 +248,12 @@
     fleet.apply(ev.VmDraining(attempt.vm, ev.Purpose.MAINTENANCE))
     running = ListedTask(attempt.attempt, attempt.vm, TaskStatus.RUNNING)
     fleet.listed = {attempt.attempt: running}
-    step = fleet.advance()
-    assert not find_events(step, ev.VmRestarting)
-    assert find_events(step, ev.TaskStopping)
-    step = fleet.advance()
-    assert [o for o in step.orders if isinstance(o, StopOrder)]
-    assert not find_events(step, ev.VmRestarting)
+    pool_plan = fleet.advance()
+    assert not find_events(pool_plan, ev.VmRestarting)
+    assert find_events(pool_plan, ev.TaskStopping)
+    pool_plan = fleet.advance()
+    assert [o for o in pool_plan.orders if isinstance(o, StopOrder)]
+    assert not find_events(pool_plan, ev.VmRestarting)
     fleet.listed = {attempt.attempt: attrs.evolve(running, status=TaskStatus.STOPPED)}
     fleet.advance()
     assert find_events(fleet.plan(), ev.VmRestarting)
@@ -271,8 +271,8 @@
 
 def test_tasks_are_spread_over_vms_and_start_orders_repeated() -> None:
     fleet = build_fleet([Task("t", "p", Priority.BULK, count=4)])
-    step = fleet.plan()
-    starts = [order for order in step.orders if isinstance(order, StartTask)]
+    pool_plan = fleet.plan()
+    starts = [order for order in pool_plan.orders if isinstance(order, StartTask)]
     assert len({order.vm for order in starts}) == 4
     assert [o.attempt for o in fleet.plan().orders] == [o.attempt for o in starts]
 
@@ -323,21 +323,21 @@
     fleet = build_fleet([Task("bad", "p", Priority.NORMAL)])
     vms = [end_attempt(fleet, TaskStatus.FAILED) for _ in range(3)]
     assert len(set(vms)) == 3
-    assert find_unrunnable(fleet.state.tasks) == {"bad"}
+    assert find_unrunnable_tasks(fleet.state.tasks) == {"bad"}
     assert not fleet.state.attempts
     assert fleet.plan().reports[0].finding is Finding.UNRUNNABLE
     failing = {f"t{n}": TaskHistory(2, 1, 0, ["vm-9"]) for n in range(3)}
-    assert find_faulty(failing) == {"vm-9"}
-    assert find_faulty({"bad": fleet.state.tasks["bad"]}) == set()
+    assert find_faulty_vms(failing) == {"vm-9"}
+    assert find_faulty_vms({"bad": fleet.state.tasks["bad"]}) == set()
 
 
 def test_faulty_vm_is_quarantined_within_the_budget() -> None:
     fleet = build_fleet(max_out=1)
     for number in range(3):
         fleet.state.tasks[f"t{number}"] = TaskHistory(2, 1, 0, ["vm-0", "vm-2"])
-    step = fleet.advance()
-    assert len(find_events(step, ev.VmQuarantined)) == 1
-    assert len(step.reports) == 2
+    pool_plan = fleet.advance()
+    assert len(find_events(pool_plan, ev.VmQuarantined)) == 1
+    assert len(pool_plan.reports) == 2
     assert not find_events(fleet.plan(), ev.VmQuarantined)
 
 
@@ -383,8 +383,8 @@
 
 def test_weights_determine_parallel_maintenance() -> None:
     loads = [0, 0, 3, 3]
-    gradual = list_options(loads, 4, Weights(moves=5, buffer=1, roll_out=1))
-    fast = list_options(loads, 4, Weights(moves=0, buffer=0, roll_out=5))
+    gradual = list_maintenance_options(loads, 4, Weights(moves=5, buffer=1, roll_out=1))
+    fast = list_maintenance_options(loads, 4, Weights(moves=0, buffer=0, roll_out=5))
     assert gradual[0].parallel < fast[0].parallel == 4
     assert gradual[0].price < gradual[1].price
 
@@ -394,19 +394,21 @@
     pool = fleet.manifest.pools[0]
     records = [r for r in fleet.state.list_pool("p") if r.rack == "a-0"]
     busy = records[0].name
-    wave = order_wave(records, pool, 35, 40 * DAY_S, lambda vm: vm == busy)
+    wave = select_maintenance_wave(records, pool, 35, 40 * DAY_S, lambda vm: vm == busy)
     assert [record.name for record in wave][-1] == busy
 
 
 def test_unchanged_list_counts_absences_like_a_new_one() -> None:
     fleet = build_fleet()
     without_vm_0 = tuple(vm for vm in fleet.vms.values() if vm.name != "vm-0")
-    unchanged, copied = Observer(needed=3), Observer(needed=3)
+    unchanged, copied = Observer(min_absences=3), Observer(min_absences=3)
     for number in range(4):
-        unchanged.take(VmList(0.0, without_vm_0), fleet.state.vms.keys(), float(number))
+        unchanged.record_list(
+            VmList(0.0, without_vm_0), fleet.state.vms.keys(), float(number)
+        )
         copy = (*without_vm_0,)
         assert copy is not without_vm_0
-        copied.take(VmList(0.0, copy), fleet.state.vms.keys(), float(number))
+        copied.record_list(VmList(0.0, copy), fleet.state.vms.keys(), float(number))
         now = float(number)
         assert unchanged.observe(now).missing == copied.observe(now).missing
     assert unchanged.observe(4.0).missing == {"vm-0"}
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -125,7 +125,7 @@
         state = self.run(load_state, self.platform)
         assert {vm: record.pool for vm, record in state.vms.items()} == self.owner
         assert state.rejected_events == 0
-        for pool, vm_names in state.members.items():
+        for pool, vm_names in state.pool_vms.items():
             assert all(state.vms[vm].pool == pool for vm in vm_names)
 
     @stateful.invariant()
@@ -207,7 +207,7 @@
     journal = Journal(platform)
     entries = anyio.run(journal.read_after, 0)
     assert [entry.sequence for entry in entries] == [1, 2, 3]
-    assert journal.corrupt == [format_key(2)]
+    assert journal.corrupt_keys == [format_key(2)]
     assert platform.peek(format_key(2)).value == {"foreign": True}
 
 
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -63,7 +63,7 @@
 from onyxgap.jobs.timeouts import WriteTimeout
 from onyxgap.logs import BURST_LINES
 from onyxgap.logs import ROUTINE_SHARE
-from onyxgap.logs import BoundedLines
+from onyxgap.logs import BoundedLogWriter
 from onyxgap.settings import Address
 from onyxgap.standins.emulator.gate import NodeGate
 from onyxgap.standins.emulator.rows import DECODERS
@@ -431,17 +431,17 @@
 def test_routine_leaves_room_in_the_log_for_what_is_rare() -> None:
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
-    lines = BoundedLines(writer, read_clock=lambda: 0.0)
+    lines = BoundedLogWriter(writer, read_clock=lambda: 0.0)
     written = 0
     for _ in range(int(BURST_LINES)):
         with contextlib.suppress(structlog.DropEvent):
-            lines.bound_routine(None, "info", {"event": "tasks placed"})
+            lines.limit_routine_events(None, "info", {"event": "tasks placed"})
             lines.msg(b"{}")
             written += 1
     assert written == BURST_LINES * ROUTINE_SHARE
     assert lines.dropped_total == BURST_LINES - written
     for _ in range(int(BURST_LINES) - written - 1):
-        lines.bound_routine(None, "info", {"event": "shard lost"})
+        lines.limit_routine_events(None, "info", {"event": "shard lost"})
         lines.msg(b"{}")
     assert lines.dropped_total == BURST_LINES - written
     os.close(reader)
@@ -453,7 +453,7 @@
     os.set_blocking(writer, False)
     os.set_blocking(reader, False)
     now = [0.0]
-    lines = BoundedLines(writer, read_clock=lambda: now[0])
+    lines = BoundedLogWriter(writer, read_clock=lambda: now[0])
     for _ in range(int(BURST_LINES) + 50):
         lines.msg(b"{}")
     assert lines.dropped_total == 50
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from onyxgap.exceptions import DocumentError
-from onyxgap.exceptions import HistoryLostError
+from onyxgap.exceptions import HistoryTruncatedError
 from onyxgap.exceptions import PlatformUnavailableError
 from onyxgap.jobs.messages import EndKind
 from onyxgap.jobs.messages import QueuePolicy
@@ -28,12 +28,12 @@
 from onyxgap.jobs.workers import ReplyKind
 from onyxgap.platform import registry
 from onyxgap.platform import settings as platform_settings
-from onyxgap.platform.callers import CallerApp
-from onyxgap.platform.callers import decode_submission
 from onyxgap.platform.cloud import decode_vm
 from onyxgap.platform.cloud import decode_vm_reply
 from onyxgap.platform.http import Answer
 from onyxgap.platform.http import CallFailure
+from onyxgap.platform.job_api import JobApiApp
+from onyxgap.platform.job_api import decode_submission
 from onyxgap.platform.store import _decode_page
 from onyxgap.platform.store import decode_outcome
 from onyxgap.platform.store import encode_batch
@@ -120,7 +120,7 @@
 
 
 def test_failed_reads_raise_typed_errors() -> None:
-    with pytest.raises(HistoryLostError):
+    with pytest.raises(HistoryTruncatedError):
         _decode_page(answer(410))
     with pytest.raises(PlatformUnavailableError):
         _decode_page(answer(503))
@@ -337,7 +337,7 @@
     async def send(message: dict[str, t.Any]) -> None:
         raise AssertionError(message)
 
-    app = CallerApp(t.cast(t.Any, FailingJobApi()))
+    app = JobApiApp(t.cast(t.Any, FailingJobApi()))
     scope = {"type": "http", "method": "GET", "path": "/q/1", "headers": []}
     with structlog.testing.capture_logs() as lines, pytest.raises(RuntimeError):
         anyio.run(app, scope, receive, send)
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -64,9 +64,9 @@
     async def test(platform: MemoryPlatform, client: PlatformClient) -> None:
         first = await client.list_vms()
         assert first.vms == (await platform.list_vms()).vms
-        before = client.bytes_moved
+        before = client.bytes_transferred
         assert (await client.list_vms()).vms == first.vms
-        assert client.bytes_moved - before < 50
+        assert client.bytes_transferred - before < 50
         platform.set_status("vm-1", VmStatus.LEAVING)
         assert (await client.list_vms()).vms[0].status is VmStatus.LEAVING
 
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -7,7 +7,7 @@
 
 from onyxgap.request.messages import Outcome
 from onyxgap.request.messages import Reason
-from onyxgap.request.queue import Ask
+from onyxgap.request.queue import SlotRequest
 from onyxgap.request.scheduling import Decision
 from onyxgap.request.scheduling import Granted
 from onyxgap.request.scheduling import Refused
@@ -29,7 +29,7 @@
     scheduler: SlotScheduler, ask_id: int, rank: int = 0, **options: t.Any
 ) -> list[Decision]:
     deadline = options.pop("deadline", NO_DEADLINE)
-    return scheduler.submit(Ask("e", ask_id, rank, deadline, **options), 0.0)
+    return scheduler.submit(SlotRequest("e", ask_id, rank, deadline, **options), 0.0)
 
 
 class ReferenceScheduler:
@@ -177,10 +177,10 @@
 
 def test_removed_member_frees_its_slots_and_queued_requests() -> None:
     scheduler = build_scheduler(targets=1, slots=2)
-    scheduler.submit(Ask("dead", 1, 0, NO_DEADLINE), 0.0)
-    scheduler.submit(Ask("dead", 2, 0, NO_DEADLINE), 0.0)
-    scheduler.submit(Ask("dead", 3, 0, NO_DEADLINE), 0.0)
-    scheduler.submit(Ask("live", 4, 0, NO_DEADLINE), 0.0)
+    scheduler.submit(SlotRequest("dead", 1, 0, NO_DEADLINE), 0.0)
+    scheduler.submit(SlotRequest("dead", 2, 0, NO_DEADLINE), 0.0)
+    scheduler.submit(SlotRequest("dead", 3, 0, NO_DEADLINE), 0.0)
+    scheduler.submit(SlotRequest("live", 4, 0, NO_DEADLINE), 0.0)
     decisions = scheduler.remove_member("dead", 0.0)
     assert [decision.ask.ask for decision in decisions] == [4]
 
--- a/tests/test_target_client.py
+++ b/tests/test_target_client.py
@@ -14,7 +14,7 @@
 
 from onyxgap.adapters.target_client import MAX_CONCURRENT_CONNECTS
 from onyxgap.adapters.target_client import HttpTargetClient
-from onyxgap.defaults import KEEP_IDLE_CONNECTIONS
+from onyxgap.defaults import MAX_IDLE_CONNECTIONS
 from onyxgap.manifest import Job
 from onyxgap.manifest import Priority
 from onyxgap.request.messages import CallerRequest
@@ -325,5 +325,5 @@
         return kept, len(client._idle)
 
     kept, left = anyio.run(run)
-    assert 0 < kept <= KEEP_IDLE_CONNECTIONS
+    assert 0 < kept <= MAX_IDLE_CONNECTIONS
     assert left == 0
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -34,8 +34,8 @@
 from onyxgap.jobs.tenants import index_keys
 from onyxgap.platform import registry
 from onyxgap.platform import settings as platform_settings
-from onyxgap.platform.callers import CallerApp
-from tests.exchanges import SetClocks
+from onyxgap.platform.job_api import JobApiApp
+from tests.exchanges import ManualClocks
 from tests.exchanges import build_exchange
 
 KEYED = Route("h", "/p/", QueuePolicy("q", "s"))
@@ -136,7 +136,7 @@
 
 def build_reading(
     *, fails: bool = False
-) -> tuple[Authentication, SetClocks, list[float]]:
+) -> tuple[Authentication, ManualClocks, list[float]]:
     """Build one whose reads of the row find a newer version with another key."""
     newer = Configuration(
         8, (KEYED, OPEN), {}, tenants=(Tenant("new", (digest_key(b"k"),)),)
@@ -152,7 +152,7 @@
 
     routes = build_routes()
     exchange = build_exchange(routes, read_newest=read)
-    clocks = t.cast(SetClocks, exchange.clocks)
+    clocks = t.cast(ManualClocks, exchange.clocks)
     return Authentication(routes, exchange), clocks, reads
 
 
@@ -233,7 +233,7 @@
 
     headers = [(b"host", b"h"), *((b"key", key) for key in keys)]
     scope = {"type": "http", "method": method, "path": path, "headers": headers}
-    anyio.run(CallerApp(t.cast(t.Any, desk)), scope, receive, send)
+    anyio.run(JobApiApp(t.cast(t.Any, desk)), scope, receive, send)
     return sent[0]["status"], dict(sent[0]["headers"])
 
 
--- a/tests/test_waiting_counts.py
+++ b/tests/test_waiting_counts.py
@@ -32,7 +32,7 @@
 from tests.emulated import extend_day
 from tests.emulated import play
 
-from .exchanges import SetClocks
+from .exchanges import ManualClocks
 from .exchanges import build_exchange
 
 NOW = 100.0
@@ -44,12 +44,12 @@
 
 
 @pytest.fixture
-def clocks() -> SetClocks:
-    return SetClocks()
+def clocks() -> ManualClocks:
+    return ManualClocks()
 
 
 @pytest.fixture
-def desk(clocks: SetClocks) -> NodeDesk:
+def desk(clocks: ManualClocks) -> NodeDesk:
     routes = RouteTable()
     routes.adopt(Configuration(1, (ROUTE,), {"ring": Service("ring")}))
     store = EmulatedStoreClient(EmulatedStore(random.Random(1), None), NodeGate("n"))
@@ -58,7 +58,7 @@
 
 
 def test_waiting_count_reports_source_and_age(
-    desk: NodeDesk, clocks: SetClocks
+    desk: NodeDesk, clocks: ManualClocks
 ) -> None:
     answers = []
     desk.on_answer = lambda *answer: answers.append(answer)
@@ -72,14 +72,14 @@
 
 
 def test_claim_without_a_count_is_not_shown_as_zero(
-    desk: NodeDesk, clocks: SetClocks
+    desk: NodeDesk, clocks: ManualClocks
 ) -> None:
     claim = OwnerRow("node-2", "boot-2", epoch=4)
     desk.views["ring"] = OwnerView(claim, 2, clocks.now)
     assert desk.count_waiting(ROUTE) is Unavailable.COUNT
 
 
-def test_old_count_is_not_shown(desk: NodeDesk, clocks: SetClocks) -> None:
+def test_old_count_is_not_shown(desk: NodeDesk, clocks: ManualClocks) -> None:
     desk.views["ring"] = OwnerView(OWNER_ROW, 1, clocks.now)
     clocks.now += 10.0
     assert desk.count_waiting(ROUTE) is Unavailable.COUNT
@@ -90,7 +90,7 @@
 
 
 def test_count_includes_jobs_in_the_previous_service_of_a_queue(
-    desk: NodeDesk, clocks: SetClocks
+    desk: NodeDesk, clocks: ManualClocks
 ) -> None:
     # guards against omitting jobs that wait in the shard of the previous service
     desk.views["ring"] = OwnerView(attrs.evolve(OWNER_ROW, waiting={}), 1, clocks.now)
