--- a/src/onyxgap/adapters/target_client.py
+++ b/src/onyxgap/adapters/target_client.py
@@ -88,7 +88,7 @@
 
 
 class _ExchangeError(Exception):
-    """The exchange failed though the target may have run the request."""
+    """The exchange failed after the request was sent; the target may have run it."""
 
     def __init__(self, reason: Reason) -> None:
         super().__init__(reason.value)
--- a/src/onyxgap/defaults.py
+++ b/src/onyxgap/defaults.py
@@ -10,7 +10,8 @@
 # Membership
 MEMBER_ROW_INTERVAL_S = 2.0
 MEMBER_TIMEOUT_S = 6.0
-# an owner with a pending slot request that sent nothing for this long is probed
+# an owner is probed when a slot request is pending there and no frame of it has
+# arrived for this long
 PROBE_AFTER_S = 0.2
 PROBE_TIMEOUT_S = 0.4
 FRESHNESS_LIMIT_S = 2.0
--- a/src/onyxgap/documents.py
+++ b/src/onyxgap/documents.py
@@ -155,7 +155,7 @@
 
 
 def find_duplicates(path: str, names: t.Iterable[str]) -> list[Fault]:
-    """List a fault for each name that occurs earlier in the array.
+    """List a fault for each repeated occurrence of a name.
 
     :param path: JSON path of the array.
     :param names: the names in array order.
--- a/src/onyxgap/fleet/learning.py
+++ b/src/onyxgap/fleet/learning.py
@@ -41,8 +41,8 @@
     """Estimate the size and run time of the next attempt of a task.
 
     With fewer than ``MIN_SAMPLES`` measured attempts, the declared values are used.
-    Otherwise it is a high quantile of the measured values; cores and memory get a
-    safety margin, the run time gets none.
+    Otherwise the estimate is a high quantile of the measured values; cores and memory
+    get a safety margin, the run time gets none.
 
     :param task: the task as declared in the manifest.
     :param history: history of ended attempts, or ``None``.
--- a/src/onyxgap/fleet/messages.py
+++ b/src/onyxgap/fleet/messages.py
@@ -82,7 +82,8 @@
         live entry processes have applied.
     :param in_flight: requests in flight by draining VM, summed over the live entry
         processes.
-    :param safe_mode: whether voluntary disruptions and repairs are suspended.
+    :param safe_mode: whether no voluntary disruption, quarantine or repair of a failed
+        VM may start.
     :param drain_grace_s: grace period of a draining VM in seconds.
     """
 
--- a/src/onyxgap/fleet/observation.py
+++ b/src/onyxgap/fleet/observation.py
@@ -78,7 +78,8 @@
             return
         self._made_at = made_at
         if vm_list.vms is self._vms:
-            # The platform sent the same list again; absent VMs are still absent.
+            # The platform sent the same list again, so each absence is counted once
+            # more.
             for vm in self._absences:
                 self._absences[vm] += 1
             return
--- a/src/onyxgap/fleet/placement.py
+++ b/src/onyxgap/fleet/placement.py
@@ -128,7 +128,7 @@
 
     :param state: the replicated state.
     :param attempts: attempts of the pool.
-    :param listed: attempts reported by the platform, by name.
+    :param listed: attempts reported by the platform, by attempt ID.
     :param pool_plan: result of the pass for this pool; events and orders are added to
         it.
     """
@@ -172,7 +172,7 @@
 
     :param pool: name of the pool.
     :param state: the replicated state.
-    :param listed: attempts reported by the platform, by name.
+    :param listed: attempts reported by the platform, by attempt ID.
     :param team_cores: cores in use by each team, shared by all pools of the pass.
     :param pool_plan: result of the pass for this pool so far; extended in place.
     """
--- a/src/onyxgap/manifest.py
+++ b/src/onyxgap/manifest.py
@@ -37,9 +37,9 @@
 class Weights:
     """Cost weights of a plan; a higher weight makes the item more expensive.
 
-    :param moves: cost of relocating one VM or task.
+    :param moves: cost of relocating one task.
     :param buffer: cost of keeping one spare VM.
-    :param roll_out: cost of one second until a manifest takes effect.
+    :param roll_out: cost of each 60 seconds of the roll-out.
     """
 
     moves: float = attrs.field(default=1.0, validator=in_range(0, 1000))
--- a/src/onyxgap/platform/workers.py
+++ b/src/onyxgap/platform/workers.py
@@ -29,7 +29,7 @@
 given up too early is repeated at once.
 """
 WORKER_CONNECTIONS = 48
-"""Maximum connections to one address; a worker accepts 64."""
+"""Maximum connections to one address; must be below the 64 that a worker accepts."""
 
 _BY_STATUS: t.Mapping[int, ReplyKind] = {
     200: ReplyKind.DONE,
--- a/src/onyxgap/request/scheduling.py
+++ b/src/onyxgap/request/scheduling.py
@@ -36,7 +36,8 @@
 class Refused:
     """The slot request is refused and not queued any longer.
 
-    :param retry_after_s: predicted seconds until the backlog has drained.
+    :param retry_after_s: seconds after which the caller may retry; on overload, the
+        predicted time until the backlog has drained.
     """
 
     ask: SlotRequest
--- a/src/onyxgap/request/targets.py
+++ b/src/onyxgap/request/targets.py
@@ -219,7 +219,7 @@
         return max(MIN_LIMIT, target.slots * share)
 
     def _get_median_slowness(self) -> float:
-        # the median changes slowly, so it is computed once in as many uses as there
+        # the median changes slowly, so a computed value is used as many times as there
         # are targets
         if self._median_uses_left <= 0:
             ratios = [item.slowness for item in self.by_vm.values()]
--- a/src/onyxgap/shared/events.py
+++ b/src/onyxgap/shared/events.py
@@ -59,7 +59,7 @@
 
 @attrs.frozen(slots=True)
 class VmReleased:
-    """A draining or retired VM leaves its pool and is free."""
+    """A VM that has drained or is retired leaves its pool and is free."""
 
     vm: str
 
@@ -102,7 +102,7 @@
 
 @attrs.frozen(slots=True)
 class VmRetired:
-    """A VM is no longer repaired."""
+    """Repair of a VM is given up; it stays out of service unless repaired outside."""
 
     vm: str
     reason: str
--- a/src/onyxgap/shared/node.py
+++ b/src/onyxgap/shared/node.py
@@ -115,7 +115,10 @@
         )
 
     def store_age(self) -> float:
-        """Seconds since the last successful read of the journal was sent."""
+        """Age in seconds of the last journal read that reached the end of the journal.
+
+        It counts from when the read was sent.
+        """
         return self.now() - self.freshness._store_read_at
 
     # start-up and journal
@@ -351,7 +354,8 @@
             self.now(),
         )
         if heartbeat.sequence <= self.state.sequence:
-            # a peer that has applied more entries shows that this state is outdated
+            # the heartbeat of a peer with more entries does not count for freshness,
+            # since it shows that this state is outdated
             self.freshness.record_peer_heartbeat(sender, self.now())
         elif self.loaded:
             pull = ttypes.JournalPull(after=self.state.sequence)
