--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -190,7 +190,7 @@
 
 
 def look(state: FleetState) -> PassInput:
-    """Build a view in which every VM is live."""
+    """Build the input of a pass in which every VM is live."""
     return PassInput(state, observe(state).observe(0.0), 1.0, state.sequence, {})
 
 
--- a/bench/naive.py
+++ b/bench/naive.py
@@ -96,7 +96,7 @@
 
     @property
     def pipeline(self) -> "NaiveEntry":
-        """The pipe is the entry itself."""
+        """The pipeline is the entry itself."""
         return self
 
     async def run(self) -> None:
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -204,7 +204,7 @@
 
     def _tell(self, decisions: t.Iterable[t.Any]) -> None:
         for decision in decisions:
-            request = self.waiting.pop(decision.ask.ask)
+            request = self.waiting.pop(decision.request.ask)
             hop = HOP_S if request.entry else 0.0
             if isinstance(decision, Granted):
                 self.loop.at(hop, lambda r=request, d=decision: self._send(r, d.vm))
--- a/src/onyxgap/adapters/slot_link.py
+++ b/src/onyxgap/adapters/slot_link.py
@@ -70,7 +70,7 @@
     def send_decision(self, decision: Decision) -> None:
         """Send an entry the decision on its slot request."""
         frame = self._create_frame()
-        ask_id = decision.ask.ask
+        ask_id = decision.request.ask
         if isinstance(decision, Granted):
             frame.grants = [ttypes.SlotGrant(ask=ask_id, vm=decision.vm)]
         else:
@@ -82,7 +82,7 @@
                     retry_after_ms=retry_after_ms,
                 )
             ]
-        self._send(decision.ask.member, frame)
+        self._send(decision.request.member, frame)
 
     def send_probe(self, owner: str) -> None:
         """Send a liveness probe to the owner."""
--- a/src/onyxgap/fleet/__init__.py
+++ b/src/onyxgap/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Pipeline that reconciles the fleet with the manifest."""
+"""Reconciles the fleet with the manifest."""
--- a/src/onyxgap/fleet/planning.py
+++ b/src/onyxgap/fleet/planning.py
@@ -71,7 +71,7 @@
 
 
 def plan_pool(name: str, pass_input: PassInput, free: FreeVms) -> PoolPlan:
-    """Plan the next step of one pool.
+    """Plan the changes of one pool.
 
     :param name: name of the pool.
     :param pass_input: input of the reconciliation pass.
--- a/src/onyxgap/request/allocation.py
+++ b/src/onyxgap/request/allocation.py
@@ -95,8 +95,8 @@
         :param deadline: monotonic seconds.
         :param now: monotonic seconds.
         :param on_done: called once, with the slot or the refusal, unless the request
-            is withdrawn first.
-        :returns: ID of the slot request, with which it can be withdrawn.
+            is cancelled first.
+        :returns: ID of the slot request, with which it can be cancelled.
         """
         ask_id = self._next_ask_id
         self._next_ask_id += 1
@@ -115,8 +115,8 @@
         else:
             self.link.send_request(owner, message)
 
-    def withdraw(self, ask_id: int, now: float) -> None:
-        """Withdraw a slot request; without effect if it is not pending.
+    def cancel(self, ask_id: int, now: float) -> None:
+        """Cancel a slot request; without effect if it is not pending.
 
         :param ask_id: ID of the slot request.
         :param now: monotonic seconds.
@@ -338,7 +338,7 @@
     def handle_release(
         self, member: str, ask_id: int, outcome: Outcome, took_s: float, now: float
     ) -> None:
-        """Free a slot or withdraw a queued request of an entry.
+        """Free a slot or cancel a queued request of an entry.
 
         :param member: the entry that held the slot or sent the request.
         :param ask_id: ID of the slot request.
@@ -356,14 +356,16 @@
     def _send_decisions(self, decisions: t.Iterable[Decision]) -> None:
         for decision in decisions:
             if isinstance(decision, Refused):
-                self._services.pop((decision.ask.member, decision.ask.ask), None)
-            if decision.ask.member != self.own_name:
+                self._services.pop(
+                    (decision.request.member, decision.request.ask), None
+                )
+            if decision.request.member != self.own_name:
                 self.link.send_decision(decision)
             else:
                 self._handle_own_decision(decision)
 
     def _handle_own_decision(self, decision: Decision) -> None:
-        ask_id = decision.ask.ask
+        ask_id = decision.request.ask
         if isinstance(decision, Granted):
             slot = Slot(ask_id, "", decision.vm, self.own_name)
             self.handle_decision(self.own_name, ask_id, slot)
@@ -398,10 +400,10 @@
         scheduler.quotas = find_quotas(self._state, service)
 
     def refuse_all(self, now: float) -> None:
-        """Withdraw and refuse all pending requests, as this process may not serve.
+        """Cancel and refuse all pending requests, as this process may not serve.
 
         :param now: monotonic seconds.
         """
         for ask_id, pending in list(self._pending.items()):
-            self.withdraw(ask_id, now)
+            self.cancel(ask_id, now)
             pending.on_done(Refusal(Reason.NOT_FRESH, defaults.FRESHNESS_LIMIT_S))
--- a/src/onyxgap/request/link.py
+++ b/src/onyxgap/request/link.py
@@ -38,7 +38,7 @@
     def send_release(
         self, owner: str, ask_id: int, outcome: Outcome, took_s: float
     ) -> None:
-        """Release a slot or withdraw a slot request."""
+        """Release a slot or cancel a slot request."""
 
     def send_held(self, owner: str, slot: Slot) -> None:
         """Report a slot in use to the new owner of its service."""
--- a/src/onyxgap/request/pipeline.py
+++ b/src/onyxgap/request/pipeline.py
@@ -180,7 +180,7 @@
         self, ask_id: int, decisions: list[Slot | Refusal]
     ) -> None:
         now = self.clocks.read_monotonic()
-        self.broker.withdraw(ask_id, now)
+        self.broker.cancel(ask_id, now)
         for decision in decisions:
             if isinstance(decision, Slot):
                 self.broker.release(decision, Outcome.UNUSED, 0.0, now)
--- a/src/onyxgap/request/retries.py
+++ b/src/onyxgap/request/retries.py
@@ -12,7 +12,7 @@
     """Limits retries to a share of the first attempts, as a token bucket.
 
     :param share: tokens added by each first attempt; a retry costs one token.
-    :param burst: most tokens that the bucket holds.
+    :param burst: maximum number of tokens that the bucket holds.
     """
 
     share: float = defaults.RETRY_BUDGET_SHARE
--- a/src/onyxgap/request/scheduling.py
+++ b/src/onyxgap/request/scheduling.py
@@ -28,7 +28,7 @@
 class Granted:
     """The slot request is granted one slot of the VM."""
 
-    ask: SlotRequest
+    request: SlotRequest
     vm: str
 
 
@@ -40,7 +40,7 @@
         predicted time until the backlog has drained.
     """
 
-    ask: SlotRequest
+    request: SlotRequest
     reason: Reason
     retry_after_s: float
 
@@ -198,7 +198,7 @@
     def release(
         self, member: str, ask_id: int, outcome: Outcome, took_s: float, now: float
     ) -> list[Decision]:
-        """Free a slot and grant what is free, or withdraw a queued request.
+        """Free a slot and grant what is free, or cancel a queued request.
 
         :param member: the entry that holds the slot or sent the request.
         :param ask_id: ID of the slot request.
--- a/src/onyxgap/shared/membership.py
+++ b/src/onyxgap/shared/membership.py
@@ -53,12 +53,12 @@
     A member times out when for ``timeout_s`` its row has not changed and no
     heartbeat from it has been received. Clocks of other machines are not used.
 
-    :param me: name of this process.
+    :param own_name: name of this process.
     :param timeout_s: seconds without a heartbeat or a change of its row after which
         a member has timed out.
     """
 
-    me: str
+    own_name: str
     timeout_s: float = defaults.MEMBER_TIMEOUT_S
     _statuses: dict[str, _MemberStatus] = attrs.field(factory=dict)
 
@@ -120,7 +120,7 @@
         return any(
             now - status.last_heartbeat_at > limit_s
             for name, status in self._statuses.items()
-            if name != self.me
+            if name != self.own_name
         )
 
     def find_address(self, name: str) -> str | None:
@@ -146,7 +146,7 @@
             if role not in (None, row.role):
                 continue
             if (
-                row.name == self.me
+                row.name == self.own_name
                 or self._get_silent_s(row.name, now) <= self.timeout_s
             ):
                 live.append(row)
@@ -169,13 +169,13 @@
         """List members whose rows may be removed, with the version of each row.
 
         :param now: monotonic seconds.
-        :param limit_s: least time without a heartbeat or a change of the row,
+        :param limit_s: minimum time without a heartbeat or a change of the row,
             in seconds.
         """
         return [
             (name, status.version)
             for name, status in sorted(self._statuses.items())
-            if name != self.me and self._get_silent_s(name, now) > limit_s
+            if name != self.own_name and self._get_silent_s(name, now) > limit_s
         ]
 
     def _get_silent_s(self, name: str, now: float) -> float:
--- a/tests/test_allocation.py
+++ b/tests/test_allocation.py
@@ -1,4 +1,4 @@
-"""Tests of slot brokers: failed owners, late grants, withdrawn and refused requests."""
+"""Tests of slot brokers: failed owners, late grants, cancelled and refused requests."""
 
 import random
 import typing as t
@@ -51,10 +51,10 @@
             broker.handle_held(self.own_name, slot, 0.0)
 
     def send_decision(self, decision: Decision) -> None:
-        broker = self._find(decision.ask.member)
+        broker = self._find(decision.request.member)
         if broker is None:
             return
-        ask_id = decision.ask.ask
+        ask_id = decision.request.ask
         result: Slot | Refusal
         if isinstance(decision, Granted):
             result = Slot(ask_id, "", decision.vm, self.own_name)
@@ -137,11 +137,11 @@
     assert len(entries.results) == total + 1
 
 
-def test_withdrawn_request_is_not_granted(entries: Entries) -> None:
+def test_cancelled_request_is_not_granted(entries: Entries) -> None:
     broker = entries.pick_non_owner()
     total = count_slots(entries)
     ask_ids = entries.acquire(broker, total + 1)
-    broker.withdraw(ask_ids[-1], 0.0)
+    broker.cancel(ask_ids[-1], 0.0)
     slot = entries.results[0]
     assert isinstance(slot, Slot)
     broker.release(slot, Outcome.SERVED, 0.01, 0.0)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Duties of a control apart from planning: snapshots and retention."""
+"""Tests of retention, membership time-outs, freshness and service owners."""
 
 import random
 
@@ -50,7 +50,7 @@
     assert run_virtually(run) == ["member/live", "member/me"]
 
 
-def test_member_lapses_by_silence_on_our_clock_alone() -> None:
+def test_member_times_out_by_the_local_clock_alone() -> None:
     membership = Membership("me", timeout_s=6.0)
     rows = [(build_row("me"), 1), (build_row("other"), 1)]
     membership.observe(rows, 0.0)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -77,7 +77,7 @@
             scheduler._urgent_streak = 0
             decisions = submit(scheduler, ask_id, rank)
             expected = reference.submit(ask_id, rank)
-        granted = [d.ask.ask for d in decisions if isinstance(d, Granted)]
+        granted = [d.request.ask for d in decisions if isinstance(d, Granted)]
         assert granted == expected
         held.extend(granted)
         total, free = scheduler.targets.count_slots(0.0)
@@ -107,7 +107,9 @@
     order = []
     current = 0
     for _ in range(30):
-        current = scheduler.release("e", current, Outcome.SERVED, 0.01, 0.0)[0].ask.ask
+        current = scheduler.release("e", current, Outcome.SERVED, 0.01, 0.0)[
+            0
+        ].request.ask
         order.append(current)
     assert order.index(1) == 16
 
@@ -118,7 +120,7 @@
     assert [len(items) for items in decisions] == [1, 1, 0, 0]
     assert len(submit(scheduler, 9, rank=1, team="b")) == 1
     released = scheduler.release("e", 0, Outcome.SERVED, 0.01, 0.0)
-    assert [decision.ask.ask for decision in released] == [2]
+    assert [decision.request.ask for decision in released] == [2]
 
 
 def test_request_that_cannot_meet_its_deadline_is_refused_with_the_drain_time() -> None:
@@ -182,7 +184,7 @@
     scheduler.submit(SlotRequest("dead", 3, 0, NO_DEADLINE), 0.0)
     scheduler.submit(SlotRequest("live", 4, 0, NO_DEADLINE), 0.0)
     decisions = scheduler.remove_member("dead", 0.0)
-    assert [decision.ask.ask for decision in decisions] == [4]
+    assert [decision.request.ask for decision in decisions] == [4]
 
 
 def test_adopted_slot_counts_as_used() -> None:
