--- a/bench/naive.py
+++ b/bench/naive.py
@@ -95,8 +95,8 @@
         self.node = NaiveNode(self.row)
 
     @property
-    def pipe(self) -> "NaiveEntry":
-        """The pipe is the entry itself."""
+    def pipeline(self) -> "NaiveEntry":
+        """The pipeline is the entry itself."""
         return self
 
     async def run(self) -> None:
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -18,7 +18,7 @@
 import attrs
 
 from onyxgap.request.messages import Outcome
-from onyxgap.request.queue import Ask
+from onyxgap.request.queue import SlotRequest
 from onyxgap.request.scheduling import Granted
 from onyxgap.request.scheduling import SlotScheduler
 from onyxgap.request.targets import TargetSet
@@ -193,7 +193,7 @@
     def submit(self, request: Request) -> None:
         """Take in a request at its entry."""
         self.waiting[request.number] = request
-        ask = Ask(
+        ask = SlotRequest(
             str(request.entry),
             request.number,
             request.rank,
@@ -204,7 +204,7 @@
 
     def _tell(self, decisions: t.Iterable[t.Any]) -> None:
         for decision in decisions:
-            request = self.waiting.pop(decision.ask.ask)
+            request = self.waiting.pop(decision.request.ask)
             hop = HOP_S if request.entry else 0.0
             if isinstance(decision, Granted):
                 self.loop.at(hop, lambda r=request, d=decision: self._send(r, d.vm))
--- a/src/onyxgap/cli/main.py
+++ b/src/onyxgap/cli/main.py
@@ -13,7 +13,7 @@
 from ..exceptions import OnyxgapError
 from ..exceptions import PlatformUnavailableError
 from ..logs import LEVELS
-from ..platform.settings import PATH_VARIABLE
+from ..platform.settings import SETTINGS_PATH_VARIABLE
 from ..settings import parse_address
 
 EXIT_FAILURE = 1
@@ -86,9 +86,9 @@
     )
     node.add_argument(
         "--settings",
-        default=os.environ.get(PATH_VARIABLE),
+        default=os.environ.get(SETTINGS_PATH_VARIABLE),
         metavar="FILE",
-        help=f"settings file of the platform (default: ${PATH_VARIABLE})",
+        help=f"settings file of the platform (default: ${SETTINGS_PATH_VARIABLE})",
     )
     node.add_argument(
         "--metrics-port",
--- a/src/onyxgap/daemons/node_process.py
+++ b/src/onyxgap/daemons/node_process.py
@@ -19,17 +19,17 @@
 from ..jobs.passing import CallLink
 from ..jobs.passing import NoCallLink
 from ..jobs.settings import NodeSettings
-from ..logs import BoundedLines
+from ..logs import BoundedLogWriter
 from ..metrics import Metrics
 from ..platform import registry
-from ..platform.advice import PlatformAdvice
-from ..platform.callers import CallerApp
-from ..platform.callers import ReadyApp
-from ..platform.cloud import PlatformCloud
+from ..platform.advice import PlatformPolicyClient
+from ..platform.cloud import PlatformCloudClient
 from ..platform.http import HttpClient
+from ..platform.job_api import JobApiApp
+from ..platform.job_api import ProbeApp
 from ..platform.settings import load_settings
 from ..platform.store import PlatformStore
-from ..platform.workers import PlatformWorkers
+from ..platform.workers import PlatformWorkerClient
 from ..settings import Address
 from .node import Node
 from .node_base import Decoders
@@ -90,13 +90,15 @@
     store = PlatformStore(HttpClient(settings.store, MAX_STORE_CONNECTIONS))
     policy_client = None
     if settings.advice != "-":
-        policy_client = PlatformAdvice(HttpClient(settings.advice))
+        policy_client = PlatformPolicyClient(HttpClient(settings.advice))
     return Node(
         settings,
         MonitoredStore(store, health, clocks),
         health,
-        PlatformWorkers(),
-        None if settings.cloud == "-" else PlatformCloud(HttpClient(settings.cloud)),
+        PlatformWorkerClient(),
+        None
+        if settings.cloud == "-"
+        else PlatformCloudClient(HttpClient(settings.cloud)),
         DECODERS,
         clocks,
         random.Random(os.urandom(8)),
@@ -107,7 +109,7 @@
     )
 
 
-def build_metrics(node: Node, lines: BoundedLines) -> Metrics:
+def build_metrics(node: Node, lines: BoundedLogWriter) -> Metrics:
     """Build the metrics of a node, and have its job API count answers in them.
 
     :param node: the node.
@@ -154,7 +156,7 @@
 
 
 async def run_node_process(
-    path: str, lines: BoundedLines, metrics_port: int = 0
+    path: str, lines: BoundedLogWriter, metrics_port: int = 0
 ) -> int:
     """Run a node until SIGTERM or SIGINT.
 
@@ -169,9 +171,9 @@
     node = build_node(settings)
     render_metrics = build_metrics(node, lines).render
     _LOG.info("start", boot=node.boot, zone=settings.zone, store=settings.store)
-    caller_app = CallerApp(node.served_api)
+    caller_app = JobApiApp(node.served_api)
     caller_server = HttpServer(caller_app, settings.front, CLOSE_TIMEOUT_S)
-    probe_app = ReadyApp(node.served_api, render_metrics)
+    probe_app = ProbeApp(node.served_api, render_metrics)
     probe_server = HttpServer(probe_app, settings.ready, CLOSE_TIMEOUT_S)
     with anyio.open_signal_receiver(
         signal.SIGTERM, signal.SIGINT, signal.SIGHUP
@@ -212,7 +214,7 @@
 
 async def _stop(
     node: Node,
-    caller_app: CallerApp,
+    caller_app: JobApiApp,
     caller_server: HttpServer,
     probe_server: HttpServer,
 ) -> None:
--- a/src/onyxgap/daemons/retention.py
+++ b/src/onyxgap/daemons/retention.py
@@ -21,7 +21,7 @@
 class Sweeper:
     """Removes expired claims on idempotency keys and rows of forgotten members.
 
-    A member is forgotten once it has been silent for longer than ``MEMBER_FORGET_S``.
+    A member is forgotten once it has been silent for longer than ``MEMBER_ROW_EXPIRY_S``.
     Each deletion is conditional on the version that was read, so a row that has
     changed since then is kept.
 
@@ -53,12 +53,12 @@
         )
 
     async def sweep_members(self, membership: Membership, now: float) -> None:
-        """Remove the rows of members silent for longer than ``MEMBER_FORGET_S``.
+        """Remove the rows of members silent for longer than ``MEMBER_ROW_EXPIRY_S``.
 
         :param membership: the members as seen by this process.
         :param now: current monotonic time, in seconds.
         """
-        forgotten = membership.list_forgotten(now, defaults.MEMBER_FORGET_S)
+        forgotten = membership.list_expired_rows(now, defaults.MEMBER_ROW_EXPIRY_S)
         await self._remove(
             [
                 Put(f"{MEMBER_PREFIX}{name}", None, version)
--- a/src/onyxgap/fleet/__init__.py
+++ b/src/onyxgap/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Filters that bring the fleet in line with the manifest."""
+"""Reconciles the fleet with the manifest."""
--- a/src/onyxgap/jobs/health.py
+++ b/src/onyxgap/jobs/health.py
@@ -131,7 +131,7 @@
     async def follow(self, table: str, after: int, wait_s: float) -> Page:
         """Wait for changes to a table after a version.
 
-        :raises HistoryLostError: if the store no longer has the changes.
+        :raises HistoryTruncatedError: if the store no longer has the changes.
         :raises PlatformUnavailableError: if the store does not answer.
         """
         started = self.clocks.read_monotonic()
--- a/src/onyxgap/jobs/store.py
+++ b/src/onyxgap/jobs/store.py
@@ -144,6 +144,6 @@
         :param table: name of the table.
         :param after: version after which changes are returned.
         :param wait_s: maximum wait in seconds.
-        :raises HistoryLostError: if the store no longer has all of these changes.
+        :raises HistoryTruncatedError: if the store no longer has all of these changes.
         :raises PlatformUnavailableError: if the store does not answer.
         """
--- a/tests/test_bill.py
+++ b/tests/test_bill.py
@@ -19,7 +19,7 @@
 from onyxgap.cli.bill import run_bill
 from onyxgap.cli.tracing import LogLine
 from onyxgap.cli.tracing import parse_lines
-from onyxgap.logs import BoundedLines
+from onyxgap.logs import BoundedLogWriter
 
 LATE_JOB = LateJob("j1", "quick", "ring", 110.0, 5.0, 1.0, 3.0)
 
@@ -146,7 +146,7 @@
     Such a line once made the command fail for the logs of a whole day.
     """
     reader, writer = os.pipe()
-    lines = BoundedLines(writer, read_clock=lambda: 0.0)
+    lines = BoundedLogWriter(writer, read_clock=lambda: 0.0)
     lines.dropped = 3
     lines.msg(render_job_end(6, "after", 2.0).encode())
     line_with_time = os.read(reader, 1 << 16).decode()
--- a/tests/test_configuration_exchange.py
+++ b/tests/test_configuration_exchange.py
@@ -31,7 +31,7 @@
 from onyxgap.jobs.routing import Service
 from onyxgap.jobs.tenants import Tenant
 from onyxgap.jobs.tenants import digest_key
-from tests.exchanges import SetClocks
+from tests.exchanges import ManualClocks
 from tests.exchanges import build_exchange
 
 TENANTS = tuple(
@@ -141,7 +141,7 @@
     asker, peers = build_node(NEWEST, age_s=5.0)
     answerer, answerer_peers = build_node(NEWEST, age_s=0.4)
     answerer.answer(ask(asker, peers))
-    assert isinstance(asker.clocks, SetClocks)
+    assert isinstance(asker.clocks, ManualClocks)
     asker.clocks.now += 3.0
     part = answerer_peers.sent[0][1]
     assert isinstance(part, ConfigurationPart)
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between processes: whatever arrives, the reader stays up."""
+"""Tests of the frame codec: invalid input raises only FrameError."""
 
 import contextlib
 
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("length", [0, MAX_FRAME_BYTES + 1, 2**32 - 1])
-def test_length_out_of_range_is_refused(length: int) -> None:
+def test_length_out_of_range_is_rejected(length: int) -> None:
     with pytest.raises(FrameError):
         decode_length(length.to_bytes(4, "big"))
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -34,8 +34,8 @@
 from onyxgap.jobs.tenants import index_keys
 from onyxgap.platform import registry
 from onyxgap.platform import settings as platform_settings
-from onyxgap.platform.callers import CallerApp
-from tests.exchanges import SetClocks
+from onyxgap.platform.job_api import JobApiApp
+from tests.exchanges import ManualClocks
 from tests.exchanges import build_exchange
 
 KEYED = Route("h", "/p/", QueuePolicy("q", "s"))
@@ -138,7 +138,7 @@
 
 def build_rereading_authentication(
     *, fails: bool = False
-) -> tuple[Authentication, SetClocks, list[float]]:
+) -> tuple[Authentication, ManualClocks, list[float]]:
     """Build an authentication whose reads of the row find a newer set of keys."""
     newer = Configuration(
         8, (KEYED, OPEN), {}, tenants=(Tenant("new", (digest_key(b"k"),)),)
@@ -154,7 +154,7 @@
 
     routes = build_routes()
     exchange = build_exchange(routes, read_newest=read)
-    clocks = t.cast(SetClocks, exchange.clocks)
+    clocks = t.cast(ManualClocks, exchange.clocks)
     return Authentication(routes, exchange), clocks, reads
 
 
@@ -236,7 +236,7 @@
 
     headers = [(b"host", b"h"), *((b"key", key) for key in keys)]
     scope = {"type": "http", "method": method, "path": path, "headers": headers}
-    anyio.run(CallerApp(t.cast(t.Any, job_api)), scope, receive, send)
+    anyio.run(JobApiApp(t.cast(t.Any, job_api)), scope, receive, send)
     return sent[0]["status"], dict(sent[0]["headers"])
 
 
--- a/tests/test_waiting_counts.py
+++ b/tests/test_waiting_counts.py
@@ -32,7 +32,7 @@
 from tests.emulated import extend_day
 from tests.emulated import play
 
-from .exchanges import SetClocks
+from .exchanges import ManualClocks
 from .exchanges import build_exchange
 
 NOW = 100.0
@@ -44,12 +44,12 @@
 
 
 @pytest.fixture
-def clocks() -> SetClocks:
-    return SetClocks()
+def clocks() -> ManualClocks:
+    return ManualClocks()
 
 
 @pytest.fixture
-def job_api(clocks: SetClocks) -> LocalJobApi:
+def job_api(clocks: ManualClocks) -> LocalJobApi:
     routes = RouteTable()
     routes.adopt(Configuration(1, (ROUTE,), {"ring": Service("ring")}))
     store = EmulatedStoreClient(EmulatedStore(random.Random(1), None), NodeGate("n"))
@@ -58,7 +58,7 @@
 
 
 def test_waiting_count_reports_source_and_age(
-    job_api: LocalJobApi, clocks: SetClocks
+    job_api: LocalJobApi, clocks: ManualClocks
 ) -> None:
     answers = []
     job_api.on_answer = lambda *answer: answers.append(answer)
@@ -72,14 +72,16 @@
 
 
 def test_claim_without_a_count_is_not_reported_as_zero(
-    job_api: LocalJobApi, clocks: SetClocks
+    job_api: LocalJobApi, clocks: ManualClocks
 ) -> None:
     claim = OwnerRow("node-2", "boot-2", epoch=4)
     job_api.views["ring"] = OwnerView(claim, 2, clocks.now)
     assert job_api.count_waiting(ROUTE) is Unavailable.COUNT
 
 
-def test_expired_count_is_not_reported(job_api: LocalJobApi, clocks: SetClocks) -> None:
+def test_expired_count_is_not_reported(
+    job_api: LocalJobApi, clocks: ManualClocks
+) -> None:
     job_api.views["ring"] = OwnerView(OWNER_ROW, 1, clocks.now)
     clocks.now += 10.0
     assert job_api.count_waiting(ROUTE) is Unavailable.COUNT
@@ -90,7 +92,7 @@
 
 
 def test_count_includes_jobs_in_the_previous_service_of_a_queue(
-    job_api: LocalJobApi, clocks: SetClocks
+    job_api: LocalJobApi, clocks: ManualClocks
 ) -> None:
     # guards against omitting jobs that wait in the shard of the previous service
     job_api.views["ring"] = OwnerView(
