--- a/src/onyxgap/daemons/retention.py
+++ b/src/onyxgap/daemons/retention.py
@@ -21,9 +21,9 @@
 class Sweeper:
     """Removes expired claims on idempotency keys and rows of forgotten members.
 
-    A member is forgotten once it has been silent for longer than ``MEMBER_ROW_EXPIRY_S``.
-    Each deletion is conditional on the version that was read, so a row that has
-    changed since then is kept.
+    A member is forgotten once it has been silent for longer than
+    ``MEMBER_ROW_EXPIRY_S``. Each deletion is conditional on the version that was read,
+    so a row that has changed since then is kept.
 
     :param platform: the platform's table.
     :param removed: number of rows removed so far.
--- a/src/onyxgap/jobs/submissions.py
+++ b/src/onyxgap/jobs/submissions.py
@@ -89,9 +89,7 @@
         raw["steps"] = tuple(map(_build_step, raw["steps"]))
         return Submission(**raw)
     except MALFORMED_ERRORS as error:
-        raise DocumentError(
-            [Fault("$", f"not a stored submission: {error!r}")]
-        ) from None
+        raise DocumentError([Fault("$", f"no stored job: {error!r}")]) from None
 
 
 def is_same_request(first: Submission, second: Submission) -> bool:
