--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -92,7 +92,7 @@
 
 
 def build_state(workers: int) -> FleetState:
-    """Build the agreed state of a fleet, folded from entries.
+    """Build the agreed state of a fleet by applying entries.
 
     :param workers: number of workers.
     """
@@ -224,7 +224,7 @@
 
 
 def measure_fold(state: FleetState) -> float:
-    """Measure the fold of one event, in seconds."""
+    """Measure the time to apply one event, in seconds."""
     names = list(state.vms)[:500]
     entries = []
     for index, name in enumerate(names):
--- a/src/onyxgap/jobs/job.py
+++ b/src/onyxgap/jobs/job.py
@@ -36,7 +36,8 @@
     :param failures: number of runs that ended as failed.
     :param checkpoint: newest checkpoint, or empty.
     :param percent: share of the work that is done according to the last report.
-    :param measurement: figure of the last report; see :class:`RunningTask`.
+    :param measurement: measurement of the last report; see
+        :class:`~onyxgap.jobs.messages.RunningTask`.
     :param started_at: monotonic seconds when the start order was placed or sent, 0 for
         an order of a previous owner or to a previous incarnation of the worker.
     :param sent: whether the start order was sent; it is stored before that.
