--- a/src/onyxgap/wire/peer.thrift
+++ b/src/onyxgap/wire/peer.thrift
@@ -3,7 +3,7 @@
 // other notices, one Frame a datagram.
 
 struct Heartbeat {
-  1: required i64 sequence;             // last journal entry applied by the sender
+  1: required i64 sequence;             // last journal entry folded by the sender
   2: required bool fresh;               // the sender itself may serve
   3: required bool stopping;            // planned stop under way
   4: optional map<string, i32> draining; // leaving VM -> requests in flight
