--- a/src/onyxgap/wire/frames.py
+++ b/src/onyxgap/wire/frames.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes frames between processes (Thrift compact protocol)."""
+"""Codec of frames between the system's own processes: thrift compact."""
 
 import typing as t
 
@@ -17,7 +17,7 @@
 
 
 def encode_frame(frame: ttypes.Frame) -> bytes:
-    """Encode a frame as length-prefixed bytes.
+    """Turn a frame into length-prefixed bytes.
 
     :param frame: the frame.
     """
@@ -28,21 +28,21 @@
 
 
 def decode_length(prefix: bytes) -> int:
-    """Decode the length prefix of a frame.
+    """Read the length prefix.
 
     :param prefix: four bytes.
     :raises FrameError: when the length is out of range.
     """
     length = int.from_bytes(prefix, "big")
     if not 0 < length <= MAX_FRAME_BYTES:
-        raise FrameError(f"frame length of {length} bytes is out of range")
+        raise FrameError(f"frame of {length} bytes")
     return length
 
 
 def decode_frame(body: bytes) -> ttypes.Frame:
-    """Decode the bytes after the length prefix into a frame.
+    """Turn the bytes after the prefix into a frame.
 
-    :param body: bytes of one frame, without the prefix.
+    :param body: the bytes.
     :raises FrameError: when they are not a valid frame.
     """
     frame = ttypes.Frame()
@@ -50,7 +50,7 @@
         frame.read(_FACTORY.getProtocol(TMemoryBuffer(body)))
         frame.validate()
     except (TException, EOFError, ValueError, TypeError, OverflowError) as error:
-        raise FrameError(f"invalid frame: {error}") from None
+        raise FrameError(f"bad frame: {error}") from None
     except (MemoryError, RecursionError, AttributeError) as error:
-        raise FrameError(f"invalid frame: {error}") from None
+        raise FrameError(f"bad frame: {error}") from None
     return frame
